--- a/include/filbertrack/backpressure_cold.h
+++ b/include/filbertrack/backpressure_cold.h
@@ -16,7 +16,7 @@
 
 #include "filbertrack/base_time.h"
 #include "filbertrack/base_token_bucket.h"
-#include "filbertrack/server_life.h"
+#include "filbertrack/server_instance.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/backpressure_limits.h
+++ b/include/filbertrack/backpressure_limits.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "filbertrack/base_time.h"
-#include "filbertrack/server_life.h"
+#include "filbertrack/server_instance.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/backpressure_rest.h
+++ b/include/filbertrack/backpressure_rest.h
@@ -11,7 +11,7 @@
 #include <optional>
 
 #include "filbertrack/base_time.h"
-#include "filbertrack/server_life.h"
+#include "filbertrack/server_instance.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/entry_backpressure.h
+++ b/include/filbertrack/entry_backpressure.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "filbertrack/backpressure.h"
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/entry_ports.h"
 
 namespace filbertrack {
--- a/include/filbertrack/entry_host.h
+++ b/include/filbertrack/entry_host.h
@@ -9,15 +9,15 @@
 #include <unordered_map>
 
 #include "filbertrack/change_log.h"
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/entry_backpressure.h"
 #include "filbertrack/entry_metrics.h"
 #include "filbertrack/entry_poison.h"
 #include "filbertrack/entry_ports.h"
 #include "filbertrack/entry_relay.h"
 #include "filbertrack/entry_targets.h"
-#include "filbertrack/news_fleet.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_fleet.h"
+#include "filbertrack/gossip_message.h"
 #include "filbertrack/request_held_answers.h"
 #include "filbertrack/server_directory.h"
 #include "filbertrack/settings.h"
--- a/include/filbertrack/entry_peers.h
+++ b/include/filbertrack/entry_peers.h
@@ -17,10 +17,10 @@
 #include "filbertrack/entry_host.h"
 #include "filbertrack/entry_ports.h"
 #include "filbertrack/entry_roster.h"
-#include "filbertrack/news_exchange.h"
-#include "filbertrack/news_fetch.h"
-#include "filbertrack/news_fleet.h"
-#include "filbertrack/news_watchers.h"
+#include "filbertrack/gossip_exchange.h"
+#include "filbertrack/gossip_fetch.h"
+#include "filbertrack/gossip_fleet.h"
+#include "filbertrack/gossip_watchers.h"
 #include "filbertrack/peer_link.h"
 
 namespace filbertrack {
--- a/include/filbertrack/entry_poison.h
+++ b/include/filbertrack/entry_poison.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/entry_server_ends.h"
 #include "filbertrack/poison_ledger.h"
 #include "filbertrack/server_directory.h"
--- a/include/filbertrack/entry_relay.h
+++ b/include/filbertrack/entry_relay.h
@@ -11,7 +11,7 @@
 #include <span>
 #include <string>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/entry_backpressure.h"
 #include "filbertrack/entry_poison.h"
 #include "filbertrack/entry_ports.h"
--- a/include/filbertrack/entry_roster.h
+++ b/include/filbertrack/entry_roster.h
@@ -11,7 +11,7 @@
 
 #include "filbertrack/base_address.h"
 #include "filbertrack/entry_ports.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/entry_targets.h
+++ b/include/filbertrack/entry_targets.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/server_directory.h"
 #include "filbertrack/site_catalog.h"
 #include "filbertrack/site_evacuations.h"
--- a/include/filbertrack/news_fleet.h
+++ b/include/filbertrack/gossip_fleet.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "filbertrack/base_time.h"
-#include "filbertrack/dispatch_board.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/dispatch_selector.h"
+#include "filbertrack/gossip_message.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/news_watchers.h
+++ b/include/filbertrack/gossip_watchers.h
@@ -11,7 +11,7 @@
 #include <span>
 
 #include "filbertrack/base_time.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 
 namespace filbertrack {
 
--- a/include/filbertrack/poison_ledger.h
+++ b/include/filbertrack/poison_ledger.h
@@ -28,7 +28,7 @@
 
 #include "filbertrack/base_time.h"
 #include "filbertrack/poison_digest.h"
-#include "filbertrack/server_life.h"
+#include "filbertrack/server_instance.h"
 
 namespace filbertrack {
 
--- a/source/dispatch_predict.cc
+++ b/source/dispatch_predict.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 
 /// The part of the board that predicts when a first event comes, and learns
 /// from when it came.
--- a/source/dispatch_board.cc
+++ b/source/dispatch_selector.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/source/entry_host.cc
+++ b/source/entry_host.cc
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "entry_trail.h"
+#include "entry_request_log.h"
 #include "filbertrack/base_compress.h"
 #include "filbertrack/base_hash.h"
 #include "filbertrack/log.h"
--- a/source/entry_relay.cc
+++ b/source/entry_relay.cc
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "entry_trail.h"
+#include "entry_request_log.h"
 #include "filbertrack/dispatch_connections.h"
 
 namespace filbertrack {
--- a/source/entry_trail.cc
+++ b/source/entry_request_log.cc
@@ -1,4 +1,4 @@
-#include "entry_trail.h"
+#include "entry_request_log.h"
 
 #include <nlohmann/json.hpp>
 
--- a/source/news_exchange.cc
+++ b/source/gossip_exchange.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/news_exchange.h"
+#include "filbertrack/gossip_exchange.h"
 
 #include <algorithm>
 
--- a/source/news_fetch.cc
+++ b/source/gossip_fetch.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/news_fetch.h"
+#include "filbertrack/gossip_fetch.h"
 
 namespace filbertrack {
 
--- a/source/news_fleet.cc
+++ b/source/gossip_fleet.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/news_fleet.h"
+#include "filbertrack/gossip_fleet.h"
 
 #include <algorithm>
 
--- a/source/news_limits.cc
+++ b/source/gossip_limits.cc
@@ -1,8 +1,8 @@
-#include "news_limits.h"
+#include "gossip_limits.h"
 
 #include <cmath>
 
-#include "news_read.h"
+#include "gossip_read.h"
 
 namespace filbertrack {
 
--- a/source/news_message.cc
+++ b/source/gossip_message.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 
 #include <algorithm>
 #include <bit>
@@ -12,9 +12,9 @@
 #include "filbertrack/base_cbor.h"
 #include "filbertrack/base_compress.h"
 #include "filbertrack/base_hash.h"
-#include "news_limits.h"
-#include "news_poison.h"
-#include "news_read.h"
+#include "gossip_limits.h"
+#include "gossip_poison.h"
+#include "gossip_read.h"
 
 namespace filbertrack {
 
--- a/source/news_poison.cc
+++ b/source/gossip_poison.cc
@@ -1,6 +1,6 @@
-#include "news_poison.h"
+#include "gossip_poison.h"
 
-#include "news_read.h"
+#include "gossip_read.h"
 
 namespace filbertrack {
 
--- a/source/news_watchers.cc
+++ b/source/gossip_watchers.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/news_watchers.h"
+#include "filbertrack/gossip_watchers.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/backpressure_cost.cc
+++ b/tests/backpressure_cost.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "filbertrack/backpressure.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 
 namespace {
 
--- a/tests/dispatch_cost.cc
+++ b/tests/dispatch_cost.cc
@@ -6,7 +6,7 @@
 #include <cstdio>
 
 #include "fake_fleet.h"
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 #include "filbertrack/replica_plan.h"
 
 namespace filbertrack {
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 
 namespace filbertrack {
 
--- a/tests/dispatch_test.cc
+++ b/tests/dispatch_test.cc
@@ -6,8 +6,8 @@
 
 #include "dispatch_fixture.h"
 #include "fake_engine.h"
-#include "filbertrack/dispatch_board.h"
 #include "filbertrack/dispatch_connections.h"
+#include "filbertrack/dispatch_selector.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/fuzz/fuzz_untrusted.cc
+++ b/tests/fuzz/fuzz_untrusted.cc
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "filbertrack/entry_poison_record.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 #include "platform_decode.h"
 
 namespace filbertrack {
--- a/tests/news_burst_test.cc
+++ b/tests/gossip_burst_test.cc
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "fake_engine.h"
-#include "filbertrack/news_exchange.h"
-#include "filbertrack/news_fleet.h"
-#include "replay_news.h"
+#include "filbertrack/gossip_exchange.h"
+#include "filbertrack/gossip_fleet.h"
+#include "replay_gossip.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/news_exchange_test.cc
+++ b/tests/gossip_exchange_test.cc
@@ -2,8 +2,8 @@
 
 #include <array>
 
-#include "filbertrack/news_exchange.h"
-#include "filbertrack/news_fleet.h"
+#include "filbertrack/gossip_exchange.h"
+#include "filbertrack/gossip_fleet.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/news_fleet_test.cc
+++ b/tests/gossip_fleet_test.cc
@@ -5,8 +5,8 @@
 #include <queue>
 #include <random>
 
-#include "filbertrack/news_fleet.h"
-#include "replay_news.h"
+#include "filbertrack/gossip_fleet.h"
+#include "replay_gossip.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/news_test.cc
+++ b/tests/gossip_test.cc
@@ -6,8 +6,8 @@
 #include <set>
 
 #include "filbertrack/base_cbor.h"
-#include "filbertrack/news_fetch.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_fetch.h"
+#include "filbertrack/gossip_message.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/news_watchers_test.cc
+++ b/tests/gossip_watchers_test.cc
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "filbertrack/news_watchers.h"
+#include "filbertrack/gossip_watchers.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/poison_cost.cc
+++ b/tests/poison_cost.cc
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <string>
 
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 #include "filbertrack/poison_ledger.h"
 
 namespace {
--- a/tests/poison_fleet_test.cc
+++ b/tests/poison_fleet_test.cc
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "poison_names.h"
+#include "poison_fixture.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "poison_names.h"
+#include "poison_fixture.h"
 
 namespace filbertrack {
 namespace {
--- a/tests/replay_news.h
+++ b/tests/replay_gossip.h
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "filbertrack/dispatch_board.h"
-#include "filbertrack/news_message.h"
+#include "filbertrack/dispatch_selector.h"
+#include "filbertrack/gossip_message.h"
 
 namespace filbertrack {
 
