--- a/include/filbertrack/admission_division.h
+++ b/include/filbertrack/admission_division.h
@@ -32,14 +32,14 @@
 struct DivisionPolicy {
   /// A host uses its part for this long after at least half of the hosts last
   /// confirmed the division.
-  Duration confirm_within = Seconds(3);
+  Duration confirmation_ttl = Seconds(3);
   /// A part that was lent may be used this much longer.
-  Duration loan_time = Seconds(2);
+  Duration loan_ttl = Seconds(2);
 };
 
-class DivisionKeeper {
+class DivisionTracker {
  public:
-  explicit DivisionKeeper(std::string self) : m_self(std::move(self)) {}
+  explicit DivisionTracker(std::string self) : m_self(std::move(self)) {}
 
   /// Takes over a newer division.
   void OnDivision(const Division& division, TimePoint now);
@@ -49,7 +49,7 @@
   void OnConfirmed(TimePoint at);
 
   /// More than half of the hosts of the division before have left it.
-  void OnMostLeft(const DivisionPolicy& policy, TimePoint now);
+  void OnMajorityLeft(const DivisionPolicy& policy, TimePoint now);
 
   /// This host's part of every entitlement, from 0 to 1.
   double Share(const DivisionPolicy& policy, TimePoint now) const;
@@ -64,7 +64,7 @@
   const Division& division() const { return m_division; }
 
  private:
-  double PartIn(const std::vector<std::string>& nodes) const;
+  double ShareIn(const std::vector<std::string>& nodes) const;
 
   std::string m_self;
   Division m_division;
--- a/include/filbertrack/admission_parts.h
+++ b/include/filbertrack/admission_parts.h
@@ -21,13 +21,13 @@
 using EntitlementKey = std::pair<std::string, std::string>;
 
 struct LoanPolicy {
-  Duration loan_time = Seconds(2);
+  Duration loan_ttl = Seconds(2);
   /// Demand is averaged over about this long.
   Duration demand_window = Seconds(1);
   /// A lender keeps this part of what it does not use.
   double kept_share = 0.25;
   /// Wishes below this are not worth a message, in requests per second.
-  double least_wish = 0.05;
+  double min_loan_rate = 0.05;
 };
 
 class EntitlementParts {
@@ -42,19 +42,19 @@
 
   /// What to ask of one lender: demand above what is left without that lender's
   /// present loans.
-  struct Wish {
+  struct LoanRequest {
     EntitlementKey key;
     double requests_per_second = 0;
   };
-  std::vector<Wish> Wishes(std::string_view lender,
-                           const LoanPolicy& policy,
-                           TimePoint now);
+  std::vector<LoanRequest> LoanRequests(std::string_view lender,
+                                        const LoanPolicy& policy,
+                                        TimePoint now);
 
   /// Lends to `borrower` what is wished and not used here; it replaces an
   /// earlier loan to the same borrower. Returns the rate lent; 0 for none.
   double Grant(std::string_view borrower,
                const EntitlementKey& key,
-               double wished,
+               double requested,
                const LoanPolicy& policy,
                TimePoint now);
 
@@ -82,9 +82,11 @@
     std::map<std::string, std::vector<Loan>, std::less<>> lent;
   };
 
-  static double Lent(const Part& part, std::string_view except, TimePoint now);
+  static double Lent(const Part& part,
+                     std::string_view except_host,
+                     TimePoint now);
   static double Borrowed(const Part& part,
-                         std::string_view except,
+                         std::string_view except_host,
                          TimePoint now);
   static double DemandNow(const Part& part,
                           const LoanPolicy& policy,
--- a/include/filbertrack/admission_queue.h
+++ b/include/filbertrack/admission_queue.h
@@ -28,7 +28,7 @@
 
 class FairQueue {
  public:
-  explicit FairQueue(size_t most_waiting) : m_most_waiting(most_waiting) {}
+  explicit FairQueue(size_t max_waiting) : m_max_waiting(max_waiting) {}
 
   /// False where the queue is full or the estimated wait passes the deadline.
   bool Push(QueuedRequest request, TimePoint now);
@@ -40,7 +40,8 @@
   std::optional<QueuedRequest> Pop(TimePoint now);
 
   /// Takes out the requests whose deadline leaves no time for `first_token`.
-  std::vector<QueuedRequest> TakeHopeless(Duration first_token, TimePoint now);
+  std::vector<QueuedRequest> TakeUnservable(Duration first_token,
+                                            TimePoint now);
 
   bool Remove(uint64_t id);
 
@@ -50,22 +51,23 @@
   size_t size() const { return m_size; }
 
  private:
-  struct Lane {
-    double finish = 0;  ///< Virtual time at which the lane's last one ends.
+  struct Flow {
+    double last_finish_tag =
+        0;  ///< Virtual time at which the lane's last one ends.
     std::deque<QueuedRequest> waiting;
-    std::deque<double> starts;
+    std::deque<double> start_tags;
   };
-  using Lanes = std::map<std::string, Lane, std::less<>>;
+  using Flows = std::map<std::string, Flow, std::less<>>;
 
-  Lane* NextLane();
+  Flow* NextFlow();
 
-  size_t m_most_waiting;
+  size_t m_max_waiting;
   size_t m_size = 0;
   double m_virtual_time = 0;
   /// Smoothed time between two requests leaving the queue.
-  Duration m_interval{0};
+  Duration m_pop_interval{0};
   std::optional<TimePoint> m_last_pop;
-  std::map<int, Lanes> m_priorities;
+  std::map<int, Flows> m_priorities;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/backpressure.h
+++ b/include/filbertrack/backpressure.h
@@ -20,11 +20,11 @@
 
 struct BackpressurePolicy {
   LimitPolicy limits;
-  RestPolicy rests;
+  UnavailablePolicy unavailable;
   /// An entry host keeps its part of the limits for so long after it was last
   /// heard of: longer than a restart takes, and than a host that is too busy to
   /// be heard sends on.
-  Duration host_memory = Seconds(10);
+  Duration host_ttl = Seconds(10);
 };
 
 class Backpressure {
@@ -35,20 +35,22 @@
                uint64_t first_revision);
 
   /// True if the limit of the server changed.
-  bool OnAnswer(const LimitReading& reading, TimePoint now);
-  bool OnNews(const LimitWord& word, TimePoint now);
+  bool OnAnswer(const LimitObservation& observation, TimePoint now);
+  bool OnPeerUpdate(const LimitRecord& record, TimePoint now);
 
   /// The server refused a request of this host and wants none for so long.
-  void OnRest(const ServerLife& server, Duration rest, TimePoint now) {
-    m_rests.OnRest(server, rest, now);
+  void OnBackoff(const ServerInstance& server,
+                 Duration backoff,
+                 TimePoint now) {
+    m_unavailable.OnBackoff(server, backoff, now);
   }
   /// True if the server was not known to be cold.
   bool OnCold(const ColdState& state, TimePoint now) {
     return m_cold.OnCold(state, m_hosts, now);
   }
   /// The server says that it leaves; true where it was not known.
-  bool OnLeaving(const ServerLife& server, TimePoint now) {
-    return m_rests.OnLeaving(server, now);
+  bool OnLeaving(const ServerInstance& server, TimePoint now) {
+    return m_unavailable.OnLeaving(server, now);
   }
 
   /// The other entry hosts that are heard, or known from the store.
@@ -56,46 +58,48 @@
 
   /// No server asks for anything, as most of the time.
   bool IsIdle() const {
-    return m_paces.empty() && m_rests.IsEmpty() && m_cold.IsEmpty();
+    return m_buckets.empty() && m_unavailable.IsEmpty() && m_cold.IsEmpty();
   }
-  bool MaySend(const ServerLife& server, TimePoint now) const;
+  bool MaySend(const ServerInstance& server, TimePoint now) const;
   /// How long until a request may be sent to the server; nullopt: not by
   /// this host, as far as is known: others hold its limit, or it leaves.
-  std::optional<Duration> UntilSend(const ServerLife& server,
+  std::optional<Duration> UntilSend(const ServerInstance& server,
                                     TimePoint now) const;
-  void OnSent(const ServerLife& server, TimePoint now);
+  void OnSent(const ServerInstance& server, TimePoint now);
 
   /// Requests a second; nullopt: the server names no limit.
-  std::optional<double> LimitOf(const ServerLife& server) const {
+  std::optional<double> LimitOf(const ServerInstance& server) const {
     return m_limits.LimitOf(server);
   }
-  size_t CountLimited() const { return m_paces.size(); }
-  size_t CountResting(TimePoint now) const { return m_rests.CountResting(now); }
-  size_t CountLeaving() const { return m_rests.CountLeaving(); }
+  size_t CountLimited() const { return m_buckets.size(); }
+  size_t CountBackingOff(TimePoint now) const {
+    return m_unavailable.CountBackingOff(now);
+  }
+  size_t CountLeaving() const { return m_unavailable.CountLeaving(); }
   size_t CountCold(TimePoint now) const { return m_cold.Count(now); }
 
   /// What the peer lacks that knows this host's words up to `known`.
-  LimitNews Since(uint64_t known, TimePoint now) const {
+  LimitUpdate Since(uint64_t known, TimePoint now) const {
     return m_limits.Since(known, now);
   }
 
  private:
   /// This host's part of a limit; nullopt: it holds none.
-  using Pace = std::optional<TokenBucket>;
+  using HostBucket = std::optional<TokenBucket>;
 
   /// True if other hosts than before are remembered.
-  bool NoteHeard(std::span<const std::string> hosts, TimePoint now);
-  void SetPace(const ServerLife& server, TimePoint now);
-  void SetPaces(TimePoint now);
+  bool UpdateHosts(std::span<const std::string> hosts, TimePoint now);
+  void SetBucket(const ServerInstance& server, TimePoint now);
+  void SetBuckets(TimePoint now);
 
   std::string m_own;
   BackpressurePolicy m_policy;
   LimitLedger m_limits;
-  RestLedger m_rests;
+  UnavailableServers m_unavailable;
   ColdServers m_cold;
   /// Of each server that names a limit.
-  std::map<ServerLife, Pace> m_paces;
-  std::map<std::string, TimePoint, std::less<>> m_heard;
+  std::map<ServerInstance, HostBucket> m_buckets;
+  std::map<std::string, TimePoint, std::less<>> m_last_seen;
   /// The names in `m_heard`, and this host's.
   std::vector<std::string> m_hosts;
 };
--- a/include/filbertrack/backpressure_cold.h
+++ b/include/filbertrack/backpressure_cold.h
@@ -21,7 +21,7 @@
 namespace filbertrack {
 
 struct ColdState {
-  ServerLife server;
+  ServerInstance server;
   /// Requests a second that it bears, from all entry hosts together.
   double per_second = 0;
   TimePoint until;
@@ -45,27 +45,27 @@
   void ForgetOld(TimePoint now);
 
   /// How long until this host may send a request; 0: now, or it is not cold.
-  Duration UntilSend(const ServerLife& server, TimePoint now) const;
-  void OnSent(const ServerLife& server, TimePoint now);
+  Duration UntilSend(const ServerInstance& server, TimePoint now) const;
+  void OnSent(const ServerInstance& server, TimePoint now);
 
   bool IsEmpty() const { return m_servers.empty(); }
   size_t Count(TimePoint now) const;
 
  private:
-  struct Cold {
+  struct ColdServer {
     double per_second = 0;
     TimePoint until;
     /// nullopt: this host holds no part.
-    std::optional<TokenBucket> pace;
+    std::optional<TokenBucket> bucket;
   };
   /// Gives this host its part of what the server bears.
-  void Share(const ServerLife& server,
-             Cold& cold,
-             std::span<const std::string> hosts,
-             TimePoint now) const;
+  void AssignShare(const ServerInstance& server,
+                   ColdServer& cold,
+                   std::span<const std::string> hosts,
+                   TimePoint now) const;
 
   std::string m_own;
-  std::map<ServerLife, Cold> m_servers;
+  std::map<ServerInstance, ColdServer> m_servers;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/backpressure_limits.h
+++ b/include/filbertrack/backpressure_limits.h
@@ -15,8 +15,8 @@
 namespace filbertrack {
 
 /// What the head of one answer says of its server's limit.
-struct LimitReading {
-  ServerLife server;
+struct LimitObservation {
+  ServerInstance server;
   /// Requests a second, from all entry hosts together; nullopt: none is named.
   std::optional<double> limit;
   /// When the request was sent.
@@ -24,8 +24,8 @@
 };
 
 /// What is known of one server, for another entry host.
-struct LimitWord {
-  ServerLife server;
+struct LimitRecord {
+  ServerInstance server;
   /// nullopt: it named a limit before, and does no more.
   std::optional<double> limit;
   /// Time since the server said so.
@@ -33,19 +33,19 @@
 };
 
 /// Words for another entry host.
-struct LimitNews {
+struct LimitUpdate {
   /// The teller's words up to this revision are told with these.
   uint64_t revision = 0;
-  std::vector<LimitWord> words;
+  std::vector<LimitRecord> words;
 };
 
 struct LimitPolicy {
   /// A limit that no answer named for this long is forgotten.
-  Duration limit_life = Seconds(600);
+  Duration limit_ttl = Seconds(600);
   /// The end of a limit is remembered against late news of the limit.
-  Duration end_life = Seconds(60);
-  size_t most_told = 256;
-  size_t most_words = 4096;
+  Duration tombstone_ttl = Seconds(60);
+  size_t max_records_per_message = 256;
+  size_t max_records = 4096;
 };
 
 class LimitLedger {
@@ -58,16 +58,16 @@
   /// True if the limit of the server changed. An answer without a limit counts
   /// only if its request was sent after the limit was last named: answers on
   /// different connections may overtake each other.
-  bool OnAnswer(const LimitReading& reading, TimePoint now);
+  bool OnAnswer(const LimitObservation& observation, TimePoint now);
 
   /// A word of another entry host; true if the limit of the server changed.
-  bool OnNews(const LimitWord& word, TimePoint now);
+  bool OnPeerUpdate(const LimitRecord& record, TimePoint now);
 
   /// Requests a second; nullopt: the server names no limit.
-  std::optional<double> LimitOf(const ServerLife& server) const;
+  std::optional<double> LimitOf(const ServerInstance& server) const;
 
   /// Servers that name a limit.
-  std::vector<ServerLife> Limited() const;
+  std::vector<ServerInstance> LimitedServers() const;
 
   /// Drops words that are old, and the oldest above the bound. True if there
   /// were any.
@@ -76,24 +76,26 @@
   uint64_t revision() const { return m_revision; }
   /// Words that came after `known`, a revision of this ledger; all of them
   /// where it is none.
-  LimitNews Since(uint64_t known, TimePoint now) const;
+  LimitUpdate Since(uint64_t known, TimePoint now) const;
 
  private:
-  struct Word {
+  struct StoredLimit {
     std::optional<double> limit;
     /// When the server last said so.
     TimePoint at;
     /// `at` as other entry hosts were told.
-    TimePoint told_at;
+    TimePoint advertised_at;
     uint64_t revision = 0;
   };
 
-  void Confirm(Word& word, TimePoint at);
-  void Put(const ServerLife& server, std::optional<double> limit, TimePoint at);
+  void Refresh(StoredLimit& record, TimePoint at);
+  void Put(const ServerInstance& server,
+           std::optional<double> limit,
+           TimePoint at);
 
   LimitPolicy m_policy;
   uint64_t m_revision;
-  std::map<ServerLife, Word> m_words;
+  std::map<ServerInstance, StoredLimit> m_stored;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/backpressure_rest.h
+++ b/include/filbertrack/backpressure_rest.h
@@ -15,38 +15,38 @@
 
 namespace filbertrack {
 
-struct RestPolicy {
+struct UnavailablePolicy {
   /// A server that leaves is remembered for so long after it last said so:
   /// longer than any takes to end.
-  Duration leaving_life = Seconds(600);
+  Duration leaving_ttl = Seconds(600);
 };
 
-class RestLedger {
+class UnavailableServers {
  public:
-  explicit RestLedger(RestPolicy policy) : m_policy(policy) {}
+  explicit UnavailableServers(UnavailablePolicy policy) : m_policy(policy) {}
 
   /// The server refused a request of this host and wants none for so long.
-  void OnRest(const ServerLife& server, Duration rest, TimePoint now);
+  void OnBackoff(const ServerInstance& server, Duration backoff, TimePoint now);
   /// True where it was not known.
-  bool OnLeaving(const ServerLife& server, TimePoint now);
+  bool OnLeaving(const ServerInstance& server, TimePoint now);
 
   /// When the server asked for rest, how long it still lasts; 0: it is over.
-  Duration RestOf(const ServerLife& server, TimePoint now) const;
-  bool IsLeaving(const ServerLife& server) const {
+  Duration RemainingBackoff(const ServerInstance& server, TimePoint now) const;
+  bool IsLeaving(const ServerInstance& server) const {
     return m_leaving.contains(server);
   }
-  size_t CountResting(TimePoint now) const;
+  size_t CountBackingOff(TimePoint now) const;
   size_t CountLeaving() const { return m_leaving.size(); }
-  bool IsEmpty() const { return m_resting.empty() && m_leaving.empty(); }
+  bool IsEmpty() const { return m_backoff.empty() && m_leaving.empty(); }
 
   void ForgetOld(TimePoint now);
 
  private:
-  RestPolicy m_policy;
+  UnavailablePolicy m_policy;
   /// Until when.
-  std::map<ServerLife, TimePoint> m_resting;
+  std::map<ServerInstance, TimePoint> m_backoff;
   /// When it last said so.
-  std::map<ServerLife, TimePoint> m_leaving;
+  std::map<ServerInstance, TimePoint> m_leaving;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/backpressure_share.h
+++ b/include/filbertrack/backpressure_share.h
@@ -37,13 +37,13 @@
 
 /// Gives `pace` the part: nullopt where this host holds none, a bucket without
 /// a token where it had none before, since all holders begin at one moment.
-void SetPace(std::optional<TokenBucket>& pace,
-             const RateShare& share,
-             TimePoint now);
+void SetBucket(std::optional<TokenBucket>& bucket,
+               const RateShare& share,
+               TimePoint now);
 
 /// One entry host's part of what a cold server bears, so that all hosts
 /// together send no more than that in any second, the first one included.
-RateShare ShareOfColdServer(double borne_per_second,
+RateShare ShareOfColdServer(double capacity_per_second,
                             std::string_view server,
                             std::string_view own,
                             std::span<const std::string> hosts);
--- a/include/filbertrack/change_log.h
+++ b/include/filbertrack/change_log.h
@@ -24,13 +24,13 @@
 class ChangeLog {
  public:
   /// Removed objects are remembered up to this many.
-  explicit ChangeLog(size_t most_removed) : m_most_removed(most_removed) {}
+  explicit ChangeLog(size_t max_removed) : m_max_removed(max_removed) {}
 
   /// Keeps `object` if it is newer than what is known; true if it was.
   bool Put(const LoggedObject& object);
 
   /// Everything up to `revision` of the store is known.
-  void Reach(uint64_t revision);
+  void AdvanceTo(uint64_t revision);
   uint64_t revision() const { return m_revision; }
 
   /// What changed after `revision`, in the order of versions. Nullopt: the log
@@ -41,12 +41,12 @@
   std::vector<LoggedObject> All() const;
 
  private:
-  void ForgetOldest();
+  void CompactRemovals();
 
-  size_t m_most_removed;
+  size_t m_max_removed;
   uint64_t m_revision = 0;
   /// Removals up to this version were forgotten.
-  uint64_t m_forgotten = 0;
+  uint64_t m_compacted_revision = 0;
   std::map<std::string, LoggedObject, std::less<>> m_objects;
   std::multimap<uint64_t, std::string> m_by_version;
   std::multimap<uint64_t, std::string> m_removed;
--- a/include/filbertrack/dispatch_connections.h
+++ b/include/filbertrack/dispatch_connections.h
@@ -12,6 +12,6 @@
 /// `most_connections` is what one server accepts from all `entry_hosts`; 0 or
 /// less: it does not say, and nothing is kept. 0 is a valid answer: each
 /// request then opens a connection, which costs a millisecond.
-size_t KeptConnections(int most_connections, size_t entry_hosts);
+size_t KeptConnections(int max_connections, size_t entry_hosts);
 
 }  // namespace filbertrack
--- a/include/filbertrack/dispatch_selector.h
+++ b/include/filbertrack/dispatch_selector.h
@@ -40,17 +40,17 @@
   std::string data_centre;
   int slots = 1;
   /// Connections that it accepts from all entry hosts.
-  int most_connections = 0;
+  int max_connections = 0;
   /// Start of the process, Unix ms; 0: not told.
-  uint64_t born_ms = 0;
+  uint64_t process_start_ms = 0;
   /// Its data centre is evacuated: it takes no request.
   bool evacuated = false;
   /// Region of its data centre; empty: there is only one.
   std::string region{};
 };
 
-inline ServerLife LifeOf(const DispatchTarget& target) {
-  return {target.id, target.born_ms};
+inline ServerInstance InstanceOf(const DispatchTarget& target) {
+  return {target.id, target.process_start_ms};
 }
 
 /// Work at a target.
@@ -65,7 +65,7 @@
   std::string_view model;
   double prompt_tokens = 0;
   /// The first event is on time until this much after now.
-  Duration time_to_aim{0};
+  Duration time_to_slo{0};
   /// The caller has gone after this.
   Duration time_left{0};
   /// Targets that this request was sent to already.
@@ -73,7 +73,7 @@
   /// Targets of this data centre go first while one of them answers in time;
   /// empty: all are alike. Loads of the own data centre are some 100 ms old,
   /// others half a second, in which a target gets several requests.
-  std::string_view near_data_centre;
+  std::string_view local_data_centre;
   /// Knows which targets ask for no request now; null: none does.
   const Backpressure* backpressure = nullptr;
   /// Regions that the request may reach by its route, and by its workspace;
@@ -133,24 +133,24 @@
   /// A target that failed is left out for this long, doubled with each failure
   /// in a row.
   Duration failure_pause = Milliseconds(300);
-  Duration longest_pause = Seconds(4);
+  Duration max_failure_pause = Seconds(4);
   /// At least this part of the targets of a model stays in use whatever fails.
-  double least_in_use = 0.5;
+  double min_in_use = 0.5;
   /// While places are free somewhere, a request is taken up to this many times
   /// its aim: it makes few wait, a late answer is still worth something to the
   /// caller, and a prediction may be too high.
-  double aim_slack = 2.0;
+  double slo_factor = 2.0;
   /// The same once all places are taken: who is let in late then makes
   /// everybody behind late.
-  double full_aim_slack = 1.0;
+  double saturated_slo_factor = 1.0;
   /// Before a request is turned away, so many targets are looked at for one
   /// that answers within its aim: a draw of a few misses the last ones that
   /// have room. It bounds the cost of a refusal.
-  size_t most_candidates = 64;
+  size_t max_candidates = 64;
   /// Such a target is taken while so much of its slots is taken at the most: of
   /// many targets, the one that looks free is most likely one that others are
   /// just filling.
-  double room_part = 0.85;
+  double max_slot_share = 0.85;
 
   // Switches, to measure what each mechanism is worth.
 
@@ -166,21 +166,21 @@
   Duration repair_time = Milliseconds(1500);
   /// The shortest time that is told: a caller who is placed then may still be
   /// answered within its aim.
-  Duration least_retry_after = Milliseconds(50);
-  Duration most_retry_after = Seconds(2);
+  Duration min_retry_after = Milliseconds(50);
+  Duration max_retry_after = Seconds(2);
   /// Requests of this long ago count about a third in the pressure: shorter
   /// than a load of weights takes, longer than a burst of a second.
-  Duration recent = Seconds(3);
+  Duration activity_decay_time = Seconds(3);
   /// Pressure is told up to this: what callers ask again is counted anew, so
   /// that more says little.
-  double most_pressure = 3;
+  double max_pressure = 3;
   /// Weight of the latest measurement in running means.
   double smoothing = 0.2;
 };
 
-class DispatchBoard {
+class TargetSelector {
  public:
-  DispatchBoard(DispatchPolicy policy, uint64_t seed)
+  TargetSelector(DispatchPolicy policy, uint64_t seed)
       : m_policy(policy), m_random(seed) {}
 
   /// Targets in use from now on. What is known of those that stay is kept.
@@ -196,8 +196,8 @@
   /// the loads were so at their hosts, in the mean.
   void SetRemoteLoads(
       const std::map<std::string, TargetLoad, std::less<>>& loads,
-      size_t unheard,
-      TimePoint true_at);
+      size_t unreported_hosts,
+      TimePoint as_of);
 
   DispatchDecision Choose(const DispatchQuery& query, TimePoint now);
 
@@ -231,13 +231,13 @@
                                  std::string_view model,
                                  TimePoint now) const;
   /// The highest pressure of all models and plain services; 0: no targets.
-  double MostPressure(TimePoint now) const;
+  double MaxPressure(TimePoint now) const;
 
   /// Time to the first event at `id` of a prompt of so many tokens.
   Duration Predict(std::string_view id, double prompt_tokens) const;
 
  private:
-  struct Recent;
+  struct ModelActivity;
   struct Entry {
     DispatchTarget target;
     /// Null for plain services.
@@ -251,7 +251,7 @@
     int failures = 0;
     TimePoint last_failure;
     /// Of its service and model.
-    Recent* recent = nullptr;
+    ModelActivity* activity = nullptr;
   };
   using Targets = std::vector<Entry*>;
   /// Targets of one service and model.
@@ -260,7 +260,7 @@
     std::map<std::string, Targets, std::less<>> by_data_centre;
   };
   /// What was seen of a model lately.
-  struct Recent {
+  struct ModelActivity {
     /// Requests that asked for it, older ones counting less.
     double placed = 0;
     double refused = 0;
@@ -287,7 +287,7 @@
   static std::string GroupKey(std::string_view service, std::string_view model);
   bool IsPaused(const Entry& entry, TimePoint now) const;
   /// Time in which one of the requests of a full target ends.
-  Duration PlaceTime(const Entry& entry) const;
+  Duration SlotReleaseInterval(const Entry& entry) const;
   /// Learns of the model from a first event that came this much after its
   /// prediction: its overhead where places are free, otherwise how many
   /// requests were there that nobody had told of. One target tells a host
@@ -298,18 +298,18 @@
   /// Requests at the target, with those that nobody told of.
   static double CountRequests(const Entry& entry);
   static bool IsFull(const Entry& entry);
-  static bool AreAllTaken(const Targets& targets,
-                          const DispatchQuery& query,
-                          TimePoint now);
+  static bool AreAllSlotsTaken(const Targets& targets,
+                               const DispatchQuery& query,
+                               TimePoint now);
   /// A request that would wait longer than this for its first event at the
   /// target is refused.
-  Duration LongestWait(const Entry& entry,
-                       const Group& group,
-                       const DispatchQuery& query,
-                       TimePoint now) const;
+  Duration MaxWait(const Entry& entry,
+                   const Group& group,
+                   const DispatchQuery& query,
+                   TimePoint now) const;
   Duration PredictEntry(const Entry& entry, double prompt_tokens) const;
   /// The request may not reach the target's region.
-  static bool IsOutside(const Entry& entry, const DispatchQuery& query);
+  static bool IsOutsideRegions(const Entry& entry, const DispatchQuery& query);
   /// The request was sent there already, or may not be sent there.
   static bool IsExcluded(const Entry& entry, const DispatchQuery& query);
   /// The request was sent there already.
@@ -326,8 +326,8 @@
                          size_t limit,
                          TimePoint now);
   /// The best of some drawn at random, or `best` where none is better.
-  void AssumeLoads(Targets& targets, size_t unheard);
-  void NoteRecent(const DispatchQuery& query, bool placed, TimePoint now);
+  void AddEstimatedLoads(Targets& targets, size_t unreported_hosts);
+  void RecordOutcome(const DispatchQuery& query, bool placed, TimePoint now);
   /// When a caller that finds all busy may come back. At first at once, as a
   /// place comes free with each answer; then after as long as callers have been
   /// refused so far, for what lasts will last. Told the same short time
@@ -353,7 +353,7 @@
   std::unordered_map<std::string, Group> m_groups;
   /// Services and models with targets that are evacuated, as keys of groups.
   std::set<std::string> m_evacuated_groups;
-  std::unordered_map<std::string, Recent> m_recent;
+  std::unordered_map<std::string, ModelActivity> m_activity;
   TimePoint m_remote_at;
 };
 
--- a/include/filbertrack/entry_backpressure.h
+++ b/include/filbertrack/entry_backpressure.h
@@ -31,9 +31,11 @@
               double per_second,
               TimePoint until,
               TimePoint now);
-  void OnNews(const LimitNews& news, std::string_view peer, TimePoint now);
+  void OnPeerUpdate(const LimitUpdate& update,
+                    std::string_view peer,
+                    TimePoint now);
   void OnSent(const DispatchTarget& target, TimePoint now) {
-    m_state.OnSent(LifeOf(target), now);
+    m_state.OnSent(InstanceOf(target), now);
   }
 
   /// The other entry hosts that are heard, or known from the store.
@@ -49,18 +51,20 @@
   /// Requests a second that the target takes from all entry hosts; nullopt: it
   /// names no limit.
   std::optional<double> LimitOf(const DispatchTarget& target) const {
-    return m_state.LimitOf(LifeOf(target));
+    return m_state.LimitOf(InstanceOf(target));
   }
 
   /// Servers that name a limit, ask this host for rest, or leave.
   size_t CountLimited() const { return m_state.CountLimited(); }
-  size_t CountResting(TimePoint now) const { return m_state.CountResting(now); }
+  size_t CountBackingOff(TimePoint now) const {
+    return m_state.CountBackingOff(now);
+  }
   size_t CountLeaving() const { return m_state.CountLeaving(); }
   /// Servers that are cold.
   size_t CountCold(TimePoint now) const { return m_state.CountCold(now); }
 
   /// What the peer lacks that knows this host's words up to `known`.
-  LimitNews Since(uint64_t known, TimePoint now) const {
+  LimitUpdate Since(uint64_t known, TimePoint now) const {
     return m_state.Since(known, now);
   }
 
--- a/include/filbertrack/entry_control.h
+++ b/include/filbertrack/entry_control.h
@@ -41,7 +41,7 @@
                const ControlPolicy& policy,
                EntryHost& host,
                EntryPeers& peers,
-               EngineLink& engines,
+               EngineClient& engines,
                RecordStore& records);
   ~EntryControl();
 
@@ -73,7 +73,7 @@
   ControlPolicy m_policy;
   EntryHost& m_host;
   EntryPeers& m_peers;
-  EngineLink& m_engines;
+  EngineClient& m_engines;
   EntryLease m_lease;
   EntryProber m_prober;
   bool m_stopping = false;
--- a/include/filbertrack/entry_host.h
+++ b/include/filbertrack/entry_host.h
@@ -30,7 +30,7 @@
 SettingsSchema EntrySchema();
 
 /// Whether a mechanism of the section [mechanisms] is switched on.
-bool IsOn(const Settings& settings, std::string_view mechanism);
+bool IsEnabled(const Settings& settings, std::string_view mechanism);
 
 /// What the settings say of single parts.
 DispatchPolicy DispatchPolicyOf(const Settings& settings);
@@ -38,7 +38,7 @@
 HeldAnswersPolicy HeldPolicyOf(const Settings& settings);
 
 /// Each entry host's part of the retries that are allowed beside the ratio.
-double MostSavedRetries(const Settings& settings, size_t entry_hosts);
+double MaxSavedRetries(const Settings& settings, size_t entry_hosts);
 
 /// What an entry host that stops still has.
 struct DrainState {
@@ -51,14 +51,14 @@
 
 /// Whether the process may end now: after `most` in any case, not before
 /// `least`.
-bool MayStop(const DrainState& state, Duration least, Duration most);
+bool MayStop(const DrainState& state, Duration min_time, Duration max_time);
 
 class EntryHost : public SiteListener {
  public:
   EntryHost(EventLoop& loop,
             const Settings& settings,
-            const CallDialect& dialect,
-            EngineLink& engines);
+            const CallHeaderCodec& header_codec,
+            EngineClient& engines);
   ~EntryHost() override;
 
   /// Listens on the addresses of the settings.
@@ -88,29 +88,32 @@
   void OnStoreReturned() override;
 
   /// What this entry host knows of the store and has at the targets.
-  NewsState OwnNews() const;
-  bool store_away() const { return m_absence.is_away(); }
+  GossipState OwnGossipState() const;
+  bool store_away() const { return m_outage_detector.is_unreachable(); }
   /// What a peer knows of evacuations.
-  void OnPeerEvacuations(const EvacuationNews& news);
+  void OnPeerEvacuations(const EvacuationUpdate& update);
   const SiteEvacuations& evacuations() const { return m_evacuations; }
   /// A peer saw the store come back.
   void OnPeerSawStoreReturn(TimePoint returned);
   /// The configuration in force, compressed, for peers.
-  const std::string& packed_catalog();
+  const std::string& compressed_catalog();
   const ChangeLog& server_log() const { return m_server_log; }
 
   /// Work of all other entry hosts that were heard, added up; `unheard` more
   /// are there.
-  void OnRemoteLoads(const FleetNews::Loads& heard, size_t unheard);
+  void OnRemoteLoads(const FleetGossip::Loads& heard, size_t unreported_hosts);
 
   /// The highest pressure of any model or plain service.
-  double MostPressure(TimePoint now) const { return m_board.MostPressure(now); }
+  double MaxPressure(TimePoint now) const {
+    return m_selector.MaxPressure(now);
+  }
 
   /// Targets of the own data centre go first: their loads are the fresh ones.
-  void SetPrefersNear(bool prefers) {
-    m_context.near_data_centre = prefers && IsOn(m_settings, "prefers_near")
-                                     ? m_settings.Text("node", "data_centre")
-                                     : std::string();
+  void SetPrefersLocal(bool prefers) {
+    m_context.local_data_centre =
+        prefers && IsEnabled(m_settings, "prefers_near")
+            ? m_settings.Text("node", "data_centre")
+            : std::string();
   }
 
   const ServerDirectory& directory() const { return m_directory; }
@@ -133,13 +136,13 @@
   /// Bytes of answers that callers have not taken, and of their requests.
   size_t HeldBytes() const;
   /// Callers that were let go since they did not read.
-  uint64_t callers_let_go() const { return m_caller_server->unread_dropped(); }
+  uint64_t dropped_callers() const { return m_caller_server->unread_dropped(); }
 
   /// Requests under which servers end.
   EntryPoison& poison() { return m_poison; }
   const EntryPoison& poison() const { return m_poison; }
   /// Decides which those are, and ends the copies that wait.
-  void SettlePoison();
+  void BlockPoisonRequests();
 
   /// What servers ask for in their answers.
   EntryBackpressure& backpressure() { return m_backpressure; }
@@ -161,24 +164,25 @@
               ResultCode code);
   void StartRelay(EntryRequest request,
                   const std::shared_ptr<HttpExchange>& exchange);
-  void EndRelay(EntryRelay& relay, const EntryEnd& end);
+  void EndRelay(EntryRelay& relay, const EntryResult& end);
   /// True if it is news.
-  bool TakeRegistration(Registration& registration, TimePoint now);
+  bool ApplyRegistration(Registration& registration, TimePoint now);
   /// `before`: what was evacuated until now.
-  void EvacuationsChanged(const SiteEvacuations::DataCentres& before);
+  void OnEvacuationsChanged(const SiteEvacuations::DataCentres& before);
   /// Servers of a data centre that is taken back may have turned cold.
   void AssumeCold(std::string_view data_centre, TimePoint now);
   /// True if a server that was known is out.
-  bool TakeUnreadable(const UnreadableServer& server, TimePoint now);
-  void Changed();
+  bool ApplyUnreadable(const UnreadableServer& server, TimePoint now);
+  void OnSiteChanged();
   void RefreshTargets();
   /// Tells which of the targets are cold, and what they bear.
-  void NoteColdTargets(std::span<const DispatchTarget> targets, TimePoint now);
+  void UpdateColdTargets(std::span<const DispatchTarget> targets,
+                         TimePoint now);
   /// The process that the request was sent to has ended: another one has its
   /// name.
   bool HasRestarted(const EntryRelay& relay) const;
   /// If the process that has the relay's attempt ended, says so.
-  void NoteRestart(const EntryRelay& relay);
+  void ReportRestart(const EntryRelay& relay);
   void ScheduleExpiry();
   std::vector<EntryRelay*> OpenRelays() const;
   void CheckSilence();
@@ -188,12 +192,12 @@
 
   EventLoop& m_loop;
   Settings m_settings;
-  const CallDialect& m_dialect;
+  const CallHeaderCodec& m_header_codec;
   std::shared_ptr<const Catalog> m_catalog;
   TimePoint m_catalog_at;
   std::string m_catalog_text;
   /// Made when a peer first wants it.
-  std::string m_packed_catalog;
+  std::string m_compressed_catalog;
   ServerDirectory m_directory;
   ChangeLog m_server_log;
   SiteEvacuations m_evacuations;
@@ -202,14 +206,14 @@
   bool m_servers_known = false;
   /// Registrations so far that could not be read.
   uint64_t m_unreadable = 0;
-  StoreAbsence m_absence;
+  StoreOutageDetector m_outage_detector;
   std::optional<TimePoint> m_store_returned;
   bool m_traffic_seen = false;
   HeldAnswersPolicy m_held_policy;
-  HeldAnswersVerdict m_held;
+  HeldAnswersDecision m_held_decision;
 
   HttpClient m_upstream;
-  DispatchBoard m_board;
+  TargetSelector m_selector;
   RetryBudget m_retries;
   EntryPoison m_poison;
   EntryBackpressure m_backpressure;
--- a/include/filbertrack/entry_outbox.h
+++ b/include/filbertrack/entry_outbox.h
@@ -24,7 +24,7 @@
  public:
   /// A batch of more than this would delay the answers to callers on a slow
   /// host by more than some milliseconds; a repair takes fewer orders.
-  static constexpr size_t kMostInBatch = 32;
+  static constexpr size_t kMaxInBatch = 32;
 
   void Push(std::string host, const ReplicaOrder& order) {
     m_orders.push_back({std::move(host), order});
--- a/include/filbertrack/entry_peers.h
+++ b/include/filbertrack/entry_peers.h
@@ -101,9 +101,9 @@
     TimePoint asked_at;
     bool silent = false;
     /// Its facts of requests under which servers end are known up to here.
-    uint64_t poison_known = 0;
+    uint64_t known_poison_revision = 0;
     /// The same of its words of limits that servers name.
-    uint64_t limits_known = 0;
+    uint64_t known_limits_revision = 0;
   };
 
   EntryRoster::Events RosterEvents();
@@ -115,14 +115,14 @@
   void Ask(const std::string& name, Peer& peer, Wants wants, TimePoint now);
   void OnAnswer(const std::string& name, const std::string* payload);
   void OnQuestion(std::string_view payload, const PeerServer::Answer& answer);
-  void TakeOver(const NewsAnswer& answer);
-  void TakeOverConfig(const NewsAnswer& answer);
+  void TakeOver(const GossipReply& answer);
+  void TakeOverConfig(const GossipReply& answer);
   /// What this host tells a peer of that data centre.
-  NewsState OwnNews(std::string_view data_centre) const;
-  std::string Answer(const NewsAsk& ask);
-  bool IsNear(std::string_view data_centre) const;
+  GossipState OwnGossipState(std::string_view data_centre) const;
+  std::string Answer(const GossipRequest& ask);
+  bool IsLocal(std::string_view data_centre) const;
   /// Asks the next peers of the own data centre in turn, so that all are asked.
-  void AskNear(TimePoint now);
+  void AskLocalPeers(TimePoint now);
   /// Exchanges loads, where that is due, with the relays: of the own data
   /// centre, or, as a relay, of all.
   void ExchangeLoads(TimePoint now);
@@ -145,8 +145,8 @@
     int64_t watch_phase = 0;
     /// Of each data centre.
     std::map<std::string, std::vector<std::string>, std::less<>> relays;
-    std::set<std::string, std::less<>> far_data_centres;
-    size_t near_hosts = 0;
+    std::set<std::string, std::less<>> remote_data_centres;
+    size_t local_hosts = 0;
     /// This host is among the watchers.
     bool watches = false;
   };
@@ -162,9 +162,9 @@
   /// False where the peer is busy, or silent and was asked lately.
   bool TryAsk(const std::string& name, Peer& peer, TimePoint now);
   /// Asks `name` for what it knows more, unless another one is asked for it.
-  void WantNewer(const std::string& name, const NewsState& state);
+  void WantNewer(const std::string& name, const GossipState& state);
   void AddPeer(const FleetHost& host, const std::string& address);
-  void NoteNews(const NewsState& state, TimePoint now);
+  void NoteNews(const GossipState& state, TimePoint now);
   void SumLoads(TimePoint now);
   void ChooseWatch(TimePoint now);
   /// Peers that are listed and not heard may not have had the time.
@@ -185,16 +185,16 @@
   bool m_listed = false;
   bool m_needs_watch = false;
   /// Whom the configuration, and whom registrations are asked of.
-  NewsFetch m_config_fetch;
-  NewsFetch m_servers_fetch;
+  GossipFetch m_config_fetch;
+  GossipFetch m_servers_fetch;
   uint64_t m_told_config = 0;
   uint64_t m_told_servers = 0;
-  EvacuationNews m_told_evacuations;
+  EvacuationUpdate m_told_evacuations;
   Traffic m_sent;
   std::string m_secret;
   std::unique_ptr<PeerServer> m_server;
   std::map<std::string, Peer, std::less<>> m_peers;
-  FleetNews m_news;
+  FleetGossip m_gossip;
   /// Names of the peers that the last round ended with.
   std::string m_last_near;
   LoadExchange m_exchange;
--- a/include/filbertrack/entry_poison.h
+++ b/include/filbertrack/entry_poison.h
@@ -24,7 +24,7 @@
 
   /// `first_revision` as in PoisonLedger.
   EntryPoison(const ServerDirectory& directory,
-              EngineLink& engines,
+              EngineClient& engines,
               Clock clock,
               uint64_t first_revision);
 
@@ -43,18 +43,18 @@
   /// Whether there is nothing known of any request, as most of the time: no
   /// digest need be made then.
   bool IsIdle() const { return m_ledger.IsEmpty(); }
-  bool IsMarked(const RequestDigest& digest) const {
-    return m_ledger.IsMarked(digest);
+  bool IsBlocked(const RequestDigest& digest) const {
+    return m_ledger.IsBlocked(digest);
   }
 
-  enum class Passage {
-    kFree,
+  enum class Admission {
+    kAllowed,
     /// Marked; this copy alone shows whether servers still end under it.
     kTrial,
     kRefused,
   };
   /// Whether a copy of the request may be sent now.
-  Passage MayPass(const RequestDigest& digest, TimePoint now) const;
+  Admission CheckAdmission(const RequestDigest& digest, TimePoint now) const;
   /// The copy that may be sent for a trial goes out.
   void BeginTrial(const RequestDigest& digest, TimePoint now);
 
@@ -65,21 +65,23 @@
 
   /// Decides on what is known by now. True if requests were marked since the
   /// last call, here or elsewhere: copies that wait must not be sent.
-  bool Settle(TimePoint now);
+  bool UpdateBlocks(TimePoint now);
 
   /// What the peer lacks that knows this host's facts up to `known`.
-  PoisonNews Since(uint64_t known, TimePoint now) const {
+  PoisonUpdate Since(uint64_t known, TimePoint now) const {
     return m_ledger.Since(known, now);
   }
-  void OnNews(const PoisonNews& news, std::string_view peer, TimePoint now);
+  void OnPeerUpdate(const PoisonUpdate& update,
+                    std::string_view peer,
+                    TimePoint now);
 
   /// The marks in force, and what the fleet's record of them says.
-  std::vector<Marked> Marks() const { return m_ledger.Marks(); }
-  void OnRecorded(const Marked& mark, TimePoint now);
-  void OnLifted(const RequestDigest& digest, TimePoint now);
+  std::vector<Blocked> ActiveBlocks() const { return m_ledger.ActiveBlocks(); }
+  void OnRecorded(const Blocked& block, TimePoint now);
+  void OnUnblocked(const RequestDigest& digest, TimePoint now);
 
   /// Whether the hosts of other data centres are heard through few of them.
-  void SetFar(bool is_far) { m_ledger.SetFar(is_far); }
+  void SetRelayed(bool is_far) { m_ledger.SetRelayed(is_far); }
 
   /// Attempts of this host that ended with their server.
   uint64_t attempts_ended() const { return m_attempts_ended; }
@@ -91,16 +93,16 @@
   std::optional<BackendServer> ServerOf(const DispatchTarget& target) const;
   /// Whether this host is the one that may let a copy through.
   bool IsTrialHost(const RequestDigest& digest) const;
-  void LogMark(const Marked& mark, std::string_view from);
+  void LogBlocked(const Blocked& block, std::string_view from);
 
   const ServerDirectory& m_directory;
   Clock m_clock;
   PoisonLedger m_ledger;
   ServerEndCheck m_ends;
   std::string m_own;
-  std::vector<std::string> m_fleet;
+  std::vector<std::string> m_hosts;
   uint64_t m_attempts_ended = 0;
-  bool m_has_new_marks = false;
+  bool m_has_new_blocks = false;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/entry_poison_record.h
+++ b/include/filbertrack/entry_poison_record.h
@@ -22,11 +22,11 @@
 
 /// Lines of the record.
 struct PoisonRecordText {
-  std::vector<Marked> marks;
-  std::vector<RequestDigest> lifted;
+  std::vector<Blocked> blocked;
+  std::vector<RequestDigest> unblocked;
 };
 
-std::string FormatPoisonRecord(const std::vector<Marked>& marks);
+std::string FormatPoisonRecord(const std::vector<Blocked>& blocked);
 /// Lines that cannot be read are passed over: a damaged one must not lift the
 /// others' marks.
 PoisonRecordText ParsePoisonRecord(std::string_view text);
@@ -58,11 +58,11 @@
  private:
   void Read();
   void OnRead(const StoreAnswer& answer);
-  void TakeOver(const StoredObject& object);
-  void Round();
+  void Apply(const StoredObject& object);
+  void Tick();
   void Write();
   /// The record as it should be.
-  std::string Wanted() const;
+  std::string DesiredText() const;
 
   EventLoop& m_loop;
   PoisonRecordPolicy m_policy;
@@ -70,7 +70,7 @@
   RecordStore& m_records;
   std::function<bool()> m_is_writer;
   int m_start_reads = 0;
-  bool m_busy = false;
+  bool m_call_in_flight = false;
   /// The newest version that is known; 0: there is no record.
   uint64_t m_version = 0;
   std::string m_text;
--- a/include/filbertrack/entry_ports.h
+++ b/include/filbertrack/entry_ports.h
@@ -67,7 +67,7 @@
   std::optional<double> rate_limit;
   /// The server turned the request away and wants nothing from this entry host
   /// for so long; nullopt: it does not say.
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
   /// The server leaves and will be gone soon.
   bool leaving = false;
   /// The server is cold for so long; nullopt: it does not say.
@@ -75,9 +75,9 @@
 };
 
 /// Reads and writes the headers of requests and answers.
-class CallDialect {
+class CallHeaderCodec {
  public:
-  virtual ~CallDialect() = default;
+  virtual ~CallHeaderCodec() = default;
 
   virtual CallFacts ReadCall(const HttpExchange& exchange) const = 0;
   virtual HttpHeaders ForwardHeaders(const HttpExchange& exchange,
@@ -113,13 +113,13 @@
   /// Over 1: the host is slower than its profile.
   double pace = 1;
   /// Start of the process that answers, Unix ms; 0: it does not say.
-  uint64_t born_ms = 0;
+  uint64_t process_start_ms = 0;
 };
 
 /// Direct calls to the hosts that groups are made of.
-class EngineLink {
+class EngineClient {
  public:
-  virtual ~EngineLink() = default;
+  virtual ~EngineClient() = default;
 
   /// Sends the order to one host; a JoinGroup goes to each member in turn.
   virtual void Order(const BackendServer& host,
@@ -176,7 +176,7 @@
 /// What became known of the registrations at once.
 struct ServerChanges {
   /// `changed` is all there are.
-  bool whole = false;
+  bool is_complete = false;
   /// Everything up to this revision of the store is known with these.
   uint64_t revision = 0;
   std::vector<Registration> changed;
@@ -212,7 +212,7 @@
   virtual void SetWatching(bool watching) = 0;
   /// Changes are told at once, or gathered for a while, which takes fewer
   /// calls.
-  virtual void SetPrompt(bool prompt) = 0;
+  virtual void SetImmediate(bool is_immediate) = 0;
 };
 
 /// Reads texts of the store that came by way of another entry host.
--- a/include/filbertrack/entry_prober.h
+++ b/include/filbertrack/entry_prober.h
@@ -44,9 +44,9 @@
   Duration same_time = Milliseconds(50);
   /// At least this part of them must have been answered, once they had time to
   /// be. Half: a third of the fleet may be lost at once.
-  double least_answered = 0.5;
+  double min_answered = 0.5;
   /// With fewer rounds to compare, too little is known to doubt oneself.
-  size_t least_rounds = 8;
+  size_t min_rounds = 8;
   /// A prober that is late asks less often, twice the interval each time, up to
   /// this many times: a host with a twelfth of the capacity may have to stand
   /// in, and lost hosts found late are better than none.
@@ -65,7 +65,7 @@
   using Schedule =
       std::function<void(Duration delay, std::function<void()> action)>;
 
-  EntryProber(EngineLink& engines,
+  EntryProber(EngineClient& engines,
               const ProbePolicy& policy,
               Clock clock,
               Schedule schedule);
@@ -77,7 +77,7 @@
   /// Forgets what was found; answers that are still to come count no more.
   void Clear();
 
-  const HostFindings& findings() const { return m_findings; }
+  const HostProbeResults& probe_results() const { return m_probe_results; }
 
   /// Whether each host of the service was asked once: until then a host that
   /// loads for an earlier controller looks idle.
@@ -96,7 +96,7 @@
     /// Beginning of the first of the rounds that went unanswered in a row.
     std::optional<TimePoint> unanswered_since{};
     /// Of the registration that the rounds are about.
-    uint64_t born_ms = 0;
+    uint64_t process_start_ms = 0;
   };
 
   /// One round of questions to one host.
@@ -128,7 +128,7 @@
   /// queue on the link again.
   size_t Allowance(size_t hosts, TimePoint now);
   /// What was found of an earlier process does not hold for the next one.
-  void ForgetEarlierLife(const BackendServer& server);
+  void ForgetEarlierInstance(const BackendServer& server);
   void Ask(const BackendServer& server);
   /// The second question of the round, unless the first was answered.
   void AskAgain(const BackendServer& server, uint64_t round);
@@ -136,13 +136,13 @@
   void OnAnswer(const std::string& id,
                 uint64_t round,
                 const ProbeAnswer& answer);
-  void Note(const std::string& id, const HostFinding& now_found);
+  void Note(const std::string& id, const HostProbeResult& now_found);
 
-  EngineLink& m_engines;
+  EngineClient& m_engines;
   ProbePolicy m_policy;
   Clock m_clock;
   Schedule m_schedule;
-  HostFindings m_findings;
+  HostProbeResults m_probe_results;
   std::map<std::string, Probe, std::less<>> m_probes;
   /// Rounds of all hosts, the oldest first; `m_forgotten_rounds` came before.
   std::deque<Round> m_rounds;
--- a/include/filbertrack/entry_server_ends.h
+++ b/include/filbertrack/entry_server_ends.h
@@ -45,7 +45,7 @@
   /// Another process answered under its name or at its address.
   kOtherProcess,
   /// It was registered by a later process under the same name.
-  kRegisteredAnew,
+  kReregistered,
 };
 
 struct ServerEnd {
@@ -64,15 +64,15 @@
   Duration answer_timeout = Milliseconds(600);
   /// A kept connection that broke with the others fails the first question; the
   /// second one opens its own.
-  int most_asked = 2;
+  int max_probes = 2;
   /// Connections to one server break within milliseconds of each other, and
   /// the last of them is noticed at the latest when a kept one is tried.
-  Duration known_for = Seconds(2);
+  Duration known_end_ttl = Seconds(2);
   /// Servers that are looked into at one time; a cut between this host and a
   /// whole data centre breaks hundreds at once and says nothing of requests.
-  size_t most_checked = 64;
+  size_t max_checked = 64;
   /// Attempts told of one server: more than it has slots.
-  size_t most_attempts = 32;
+  size_t max_attempts = 32;
 };
 
 class ServerEndCheck {
@@ -80,7 +80,7 @@
   using Clock = std::function<TimePoint()>;
   using OnEnd = std::function<void(const ServerEnd& end)>;
 
-  ServerEndCheck(EngineLink& engines,
+  ServerEndCheck(EngineClient& engines,
                  ServerEndPolicy policy,
                  Clock clock,
                  OnEnd on_end)
@@ -94,32 +94,32 @@
   void OnBroken(const BackendServer& server, BrokenAttempt attempt);
 
   /// The registration shows that the process which had the attempt has ended.
-  void OnRegisteredAnew(const BackendServer& server, BrokenAttempt attempt);
+  void OnReregistered(const BackendServer& server, BrokenAttempt attempt);
 
  private:
   struct Check {
     BackendServer server;
     std::vector<BrokenAttempt> attempts;
     TimePoint since;
-    int asked = 0;
+    int probes_sent = 0;
   };
 
-  void Ask(const std::string& id);
-  void OnAnswer(const std::string& id, const ProbeAnswer& answer);
+  void SendProbe(const std::string& id);
+  void OnProbeAnswer(const std::string& id, const ProbeAnswer& answer);
 
-  EngineLink& m_engines;
+  EngineClient& m_engines;
   ServerEndPolicy m_policy;
   Clock m_clock;
   OnEnd m_on_end;
   /// By id, while its answer is awaited.
   std::map<std::string, Check, std::less<>> m_checks;
   /// Ends found lately, by id: further attempts of theirs need no question.
-  struct Known {
-    uint64_t born_ms = 0;
+  struct KnownEnd {
+    uint64_t process_start_ms = 0;
     EndEvidence evidence = EndEvidence::kNoAnswer;
     TimePoint at;
   };
-  std::map<std::string, Known, std::less<>> m_known;
+  std::map<std::string, KnownEnd, std::less<>> m_known_ends;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/include/filbertrack/entry_targets.h
+++ b/include/filbertrack/entry_targets.h
@@ -27,7 +27,7 @@
 /// so. A group that closes in order, or whose members only leave, ends what it
 /// has; a head that is not registered may run on behind a partition, and its
 /// silence shows.
-std::set<std::string_view> HeadsStandingStill(const ServerDirectory& directory,
-                                              const Catalog& catalog);
+std::set<std::string_view> StalledHeads(const ServerDirectory& directory,
+                                        const Catalog& catalog);
 
 }  // namespace filbertrack
--- a/include/filbertrack/exchange.h
+++ b/include/filbertrack/exchange.h
@@ -27,14 +27,14 @@
 
 /// The question to the peer of that name; `wanted` are keys that its last
 /// answer offered.
-ExchangeAsk MakeAsk(ExchangeState& state,
-                    std::string_view peer,
-                    std::vector<std::string> wanted,
-                    TimePoint now);
+ExchangeRequest MakeExchangeRequest(ExchangeState& state,
+                                    std::string_view peer,
+                                    std::vector<std::string> wanted,
+                                    TimePoint now);
 
-ExchangeAnswer AnswerAsk(ExchangeState& state,
-                         const ExchangeAsk& ask,
-                         TimePoint now);
+ExchangeReply MakeExchangeReply(ExchangeState& state,
+                                const ExchangeRequest& request,
+                                TimePoint now);
 
 struct ExchangeEffect {
   bool objects_changed = false;
@@ -45,9 +45,9 @@
 };
 
 /// Takes over the answer to `ask`, which was asked at `asked_at`.
-ExchangeEffect ApplyAnswer(ExchangeState& state,
-                           const ExchangeAsk& ask,
-                           const ExchangeAnswer& answer,
-                           TimePoint asked_at);
+ExchangeEffect ApplyExchangeReply(ExchangeState& state,
+                                  const ExchangeRequest& request,
+                                  const ExchangeReply& reply,
+                                  TimePoint asked_at);
 
 }  // namespace filbertrack
--- a/include/filbertrack/explain_account.h
+++ b/include/filbertrack/explain_account.h
@@ -54,7 +54,7 @@
   std::vector<LossRow> rows;
 };
 
-LossAccount AccountLosses(std::span<const TrailLine> trail,
+LossAccount AccountLosses(std::span<const RequestLogLine> trail,
                           const AccountPolicy& policy);
 
 /// The rows added up over what `Field` tells apart, the largest loss first.
--- a/include/filbertrack/fleet_view.h
+++ b/include/filbertrack/fleet_view.h
@@ -63,7 +63,7 @@
   std::vector<GroupEvidence> Evidence(TimePoint now) const;
 
   /// Drops what was read of hosts that this process no longer watches.
-  void KeepMembers(const std::map<std::string, Address, std::less<>>& watched);
+  void PruneMembers(const std::map<std::string, Address, std::less<>>& watched);
 
   const std::map<std::string, FleetGroup, std::less<>>& groups() const {
     return m_groups;
@@ -88,11 +88,13 @@
   void RebuildCandidates(TimePoint now);
   void AddPlainServers(std::vector<RouteCandidate>& candidates, TimePoint now);
   void AddGroups(std::vector<RouteCandidate>& candidates, TimePoint now);
-  void RefreshWhole(RouteCandidate& candidate,
-                    const Group& group,
-                    TimePoint now);
+  void UpdateCompleteness(RouteCandidate& candidate,
+                          const Group& group,
+                          TimePoint now);
   bool IsWatched(std::string_view group) const;
-  RouteCandidate Known(const std::string& id, uint64_t epoch, TimePoint now);
+  RouteCandidate FindOrMakeCandidate(const std::string& id,
+                                     uint64_t epoch,
+                                     TimePoint now);
 
   Resources m_resources;
   std::map<std::string, FleetGroup, std::less<>> m_groups;
--- a/include/filbertrack/gateway_keys.h
+++ b/include/filbertrack/gateway_keys.h
@@ -36,8 +36,8 @@
   void Complete(KeyCompletion completion);
 
   /// Questions of other entry hosts to partitions that this one owns.
-  void OnAsked(const KeyedAsk& ask,
-               const std::function<void(KeyedAnswer)>& answer);
+  void OnAsked(const KeyedRequest& ask,
+               const std::function<void(KeyedReply)>& answer);
 
   /// Writes to the object API begun by the partitions of this host.
   uint64_t writes() const;
@@ -46,7 +46,7 @@
 
  private:
   struct Outgoing {
-    KeyOrder order;
+    KeyOperation order;
     Done done;
     TimePoint since;
   };
@@ -57,8 +57,8 @@
   };
 
   std::string PartitionOf(const std::string& ledger_key) const;
-  void Send(KeyOrder order, Done done);
-  void SubmitHere(const std::string& partition, KeyOrder order, Done done);
+  void Send(KeyOperation order, Done done);
+  void SubmitHere(const std::string& partition, KeyOperation order, Done done);
   void Flush();
   void FlushTo(const std::string& node, std::vector<Outgoing> orders);
   void Tick();
--- a/include/filbertrack/gateway_peers.h
+++ b/include/filbertrack/gateway_peers.h
@@ -25,7 +25,7 @@
   /// Membership or the division changed: who watches what may have too.
   std::function<void()> on_membership;
   /// A question about idempotency keys from another entry host.
-  std::function<void(KeyedAsk ask, std::function<void(KeyedAnswer)> answer)>
+  std::function<void(KeyedRequest ask, std::function<void(KeyedReply)> answer)>
       on_keyed;
 };
 
@@ -60,9 +60,9 @@
 
   /// Asks the peer about idempotency keys; null where it did not answer.
   void AskKeyed(const std::string& node,
-                const KeyedAsk& ask,
+                const KeyedRequest& ask,
                 Duration timeout,
-                std::function<void(const KeyedAnswer* answer)> done);
+                std::function<void(const KeyedReply* answer)> done);
 
   const LoanPolicy& loan_policy() const { return m_loans; }
 
@@ -81,7 +81,7 @@
   void AskSeeds(TimePoint now);
   void Ask(const std::string& name, const Address& address, TimePoint now);
   void OnAnswer(const std::string& name,
-                const ExchangeAsk& ask,
+                const ExchangeRequest& ask,
                 TimePoint asked_at,
                 const std::string* payload);
   void Confirm(TimePoint now);
@@ -99,7 +99,7 @@
   std::string m_key;
   Duration m_interval;
   PeerTable m_table;
-  DivisionKeeper m_division;
+  DivisionTracker m_division;
   DivisionPolicy m_division_policy;
   LoanPolicy m_loans;
   std::unique_ptr<PeerServer> m_server;
--- a/include/filbertrack/gateway_relay.h
+++ b/include/filbertrack/gateway_relay.h
@@ -154,7 +154,7 @@
   bool m_first_token_seen = false;
   ForwardSpan m_forwarded;
   std::unique_ptr<HttpCall> m_call;
-  SseSplitter m_splitter;
+  SseParser m_splitter;
   int m_answer_status = 0;
   HttpHeaders m_answer_headers;
   std::string m_answer_body;
--- a/include/filbertrack/gateway_router.h
+++ b/include/filbertrack/gateway_router.h
@@ -87,7 +87,7 @@
   Metrics& m_metrics;
   HttpClient m_upstream;
   std::string m_data_centre;
-  size_t m_most_waiting;
+  size_t m_max_waiting;
   Duration m_wait_for_group;
   RoutePolicy m_route_policy;
   RouteLimits m_route_limits;
--- a/include/filbertrack/gossip_exchange.h
+++ b/include/filbertrack/gossip_exchange.h
@@ -21,16 +21,16 @@
 struct LoadExchangePolicy {
   /// Time between two exchanges at rest. Twice this is shorter than loads are
   /// counted for.
-  Duration calm_interval = Milliseconds(600);
+  Duration idle_interval = Milliseconds(600);
   /// The same of a relay with the other data centres.
-  Duration calm_far_interval = Milliseconds(300);
+  Duration idle_remote_interval = Milliseconds(300);
   /// While it is busy: a host begins or ends some one request in it.
-  Duration busy_interval = Milliseconds(60);
+  Duration loaded_interval = Milliseconds(60);
   /// It is busy from this pressure on: from here on, some targets are full
   /// while others have places.
-  double busy_pressure = 0.5;
+  double loaded_pressure = 0.5;
   /// Questions that a relay answers in a second: a tenth of half a processor.
-  double most_answers_per_s = 300;
+  double max_answers_per_s = 300;
 };
 
 class LoadExchange {
@@ -38,13 +38,13 @@
   explicit LoadExchange(LoadExchangePolicy policy) : m_policy(policy) {}
 
   /// `pressure`: the highest of any model, 1 where all places are taken.
-  void NotePressure(double pressure);
+  void UpdatePressure(double pressure);
   bool busy() const { return m_busy; }
 
   /// Time between two exchanges, where so many hosts ask `relays` relays:
   /// those of the data centre, and the relays of the other ones. `is_relay`: of
   /// a relay with the other data centres.
-  Duration Interval(size_t askers, size_t relays, bool is_relay) const;
+  Duration Interval(size_t requesters, size_t relays, bool is_relay) const;
 
   /// True if an exchange is due; the next one is due an interval later.
   bool TryBegin(Duration interval, TimePoint now);
@@ -56,8 +56,8 @@
  private:
   LoadExchangePolicy m_policy;
   bool m_busy = false;
-  std::optional<TimePoint> m_began;
-  size_t m_turn = 0;
+  std::optional<TimePoint> m_last_start;
+  size_t m_next_relay = 0;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/gossip_fetch.h
+++ b/include/filbertrack/gossip_fetch.h
@@ -12,13 +12,13 @@
 
 namespace filbertrack {
 
-class NewsFetch {
+class GossipFetch {
  public:
   /// A peer that has not answered after `patience` is given up for another;
   /// after an answer the next question waits for `spacing`, in which changes
   /// gather.
-  NewsFetch(Duration patience, Duration spacing)
-      : m_patience(patience), m_spacing(spacing) {}
+  GossipFetch(Duration timeout, Duration min_gap)
+      : m_timeout(timeout), m_min_gap(min_gap) {}
 
   bool MayBegin(TimePoint now) const;
   void Begin(std::string_view peer, TimePoint now);
@@ -28,12 +28,12 @@
   bool IsFrom(std::string_view peer) const { return m_peer == peer; }
 
  private:
-  Duration m_patience;
-  Duration m_spacing;
+  Duration m_timeout;
+  Duration m_min_gap;
   /// Empty: none is asked.
   std::string m_peer;
-  TimePoint m_began;
-  std::optional<TimePoint> m_ended;
+  TimePoint m_start;
+  std::optional<TimePoint> m_end;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/gossip_fleet.h
+++ b/include/filbertrack/gossip_fleet.h
@@ -20,40 +20,44 @@
 
 namespace filbertrack {
 
-struct FleetNewsPolicy {
+struct FleetGossipPolicy {
   /// Loads that were not told for this long are not counted: eight rounds of
   /// questions.
-  Duration load_life = Milliseconds(1200);
+  Duration load_ttl = Milliseconds(1200);
   /// A host that was not heard of for this long counts as gone.
-  Duration host_life = Milliseconds(1500);
+  Duration host_ttl = Milliseconds(1500);
   /// A relay's sum of the own data centre counts instead of what its hosts told
   /// themselves while it is younger than this: their own words are 250 ms old
   /// in the mean.
-  Duration near_sum_life = Milliseconds(250);
+  Duration local_sum_ttl = Milliseconds(250);
 };
 
-class FleetNews {
+class FleetGossip {
  public:
   /// By target.
   using LoadSums = std::map<std::string, TargetLoad, std::less<>>;
 
-  FleetNews(std::string node, std::string data_centre, FleetNewsPolicy policy)
+  FleetGossip(std::string node,
+              std::string data_centre,
+              FleetGossipPolicy policy)
       : m_node(std::move(node)),
         m_data_centre(std::move(data_centre)),
         m_policy(policy) {}
 
   /// A peer's message; `now` is when it came.
-  void Note(const NewsState& state, TimePoint now);
+  void Note(const GossipState& state, TimePoint now);
 
   /// Turns this host's own state into one for a host of another data centre.
-  void CoverDataCentre(NewsState& own, TimePoint now) const;
+  void CoverDataCentre(GossipState& own, TimePoint now) const;
 
   /// Adds what was heard of other data centres, for a host of the own one.
-  void PassOnFar(NewsState& own, TimePoint now) const;
+  void AddRemoteLoads(GossipState& own, TimePoint now) const;
 
   /// Adds the sum of the own data centre, this host included and `asker` left
   /// out, for that host.
-  void PassOnNear(NewsState& own, std::string_view asker, TimePoint now) const;
+  void AddLocalLoads(GossipState& own,
+                     std::string_view requester,
+                     TimePoint now) const;
 
   struct Loads {
     LoadSums loads;
@@ -80,49 +84,49 @@
   uint64_t membership() const { return m_membership; }
 
  private:
-  struct Heard {
-    NewsState state;
+  struct ReceivedState {
+    GossipState state;
     TimePoint at;
   };
-  struct HostSeen {
+  struct KnownHost {
     FleetHost host;
     TimePoint at;
   };
-  struct HeardSum {
-    NewsSum sum;
+  struct ReceivedLoads {
+    DataCentreLoads sum;
     TimePoint at;
   };
 
-  void NoteHost(const NewsHost& host,
-                std::string_view data_centre,
-                TimePoint at);
-  void NoteSum(const NewsSum& sum, TimePoint at);
+  void RecordHost(const GossipHost& host,
+                  std::string_view data_centre,
+                  TimePoint at);
+  void RecordDataCentreLoads(const DataCentreLoads& sum, TimePoint at);
 
-  bool IsFresh(TimePoint heard, TimePoint now) const {
-    return now - heard <= m_policy.load_life;
+  bool IsFresh(TimePoint received, TimePoint now) const {
+    return now - received <= m_policy.load_ttl;
   }
   /// The relay's sum of the own data centre; null: there is none, or it is too
   /// old to stand for what the hosts told themselves.
-  const HeardSum* NearSum(TimePoint now) const;
+  const ReceivedLoads* LocalSum(TimePoint now) const;
   /// A host's own message is not counted where its data centre's sum has it.
   /// `near_covered`: the hosts that the sum of the own data centre has.
   bool IsCovered(const std::string& node,
-                 const Heard& heard,
-                 const std::unordered_set<std::string_view>& near_covered,
+                 const ReceivedState& received,
+                 const std::unordered_set<std::string_view>& covered_hosts,
                  TimePoint now) const;
   /// `own` and the work of the other hosts of the data centre but `left_out`.
-  NewsSum AddUpNear(const std::vector<NewsLoad>& own,
-                    std::string_view left_out,
-                    TimePoint now) const;
+  DataCentreLoads SumLocalLoads(const std::vector<GossipLoad>& own,
+                                std::string_view excluded,
+                                TimePoint now) const;
 
   std::string m_node;
   std::string m_data_centre;
-  FleetNewsPolicy m_policy;
+  FleetGossipPolicy m_policy;
   /// Latest message of each host about itself.
-  std::map<std::string, Heard, std::less<>> m_own;
+  std::map<std::string, ReceivedState, std::less<>> m_states;
   /// Latest sum of each other data centre.
-  std::map<std::string, HeardSum, std::less<>> m_sums;
-  std::map<std::string, HostSeen, std::less<>> m_hosts;
+  std::map<std::string, ReceivedLoads, std::less<>> m_data_centre_loads;
+  std::map<std::string, KnownHost, std::less<>> m_hosts;
   uint64_t m_membership = 0;
 };
 
--- a/include/filbertrack/gossip_message.h
+++ b/include/filbertrack/gossip_message.h
@@ -19,10 +19,10 @@
 
 namespace filbertrack {
 
-inline constexpr uint64_t kNewsProtocol = 3;
+inline constexpr uint64_t kGossipProtocol = 3;
 
 /// Work of the sender at one target.
-struct NewsLoad {
+struct GossipLoad {
   std::string target;
   int requests = 0;
   double prompt_tokens = 0;
@@ -38,7 +38,7 @@
 };
 
 /// A host that the sender heard of.
-struct NewsHost {
+struct GossipHost {
   std::string name;
   bool store_fails = false;
   Duration age{0};
@@ -46,16 +46,16 @@
 };
 
 /// The work of all hosts of a data centre.
-struct NewsSum {
+struct DataCentreLoads {
   std::string data_centre;
   Duration age{0};
-  std::vector<NewsLoad> loads;
+  std::vector<GossipLoad> loads;
   /// The hosts that `loads` covers.
-  std::vector<NewsHost> hosts;
+  std::vector<GossipHost> hosts;
 };
 
 /// How far the sender knows the store.
-struct NewsState {
+struct GossipState {
   std::string node;
   std::string data_centre;
   /// Where the sender answers questions of peers.
@@ -69,19 +69,19 @@
   uint64_t config_version = 0;
   uint64_t servers_revision = 0;
   /// Work of the sender, or of all hosts of its data centre.
-  std::vector<NewsLoad> loads;
+  std::vector<GossipLoad> loads;
   bool covers_data_centre = false;
   /// The hosts beside the sender that `loads` covers.
-  std::vector<NewsHost> hosts;
+  std::vector<GossipHost> hosts;
   /// Data centres that are evacuated.
-  EvacuationNews evacuations;
+  EvacuationUpdate evacuations;
   /// What the sender heard of other data centres, for hosts of its own; and the
   /// sum of its own one without the receiver's part, where that is wanted.
-  std::vector<NewsSum> far;
+  std::vector<DataCentreLoads> remote_loads;
 };
 
-struct NewsAsk {
-  NewsState state;
+struct GossipRequest {
+  GossipState state;
   /// A newer configuration may be sent. A host asks one peer at a time for it:
   /// large ones from several at once would fill the link of a small host.
   bool wants_config = false;
@@ -89,38 +89,38 @@
   /// took the link of a host of 20 Mbit/s for a second.
   bool wants_servers = false;
   /// Sums of other data centres are wanted.
-  bool wants_far = false;
+  bool wants_remote_loads = false;
   /// The answerer's facts of requests under which servers end are known up to
   /// this revision of its own.
-  uint64_t poison_known = 0;
+  uint64_t known_poison_revision = 0;
   /// The sum of the answerer's own data centre is wanted, without the asker's
   /// part.
-  bool wants_near = false;
+  bool wants_local_loads = false;
   /// The answerer's words of limits that servers name are known up to this
   /// revision of its own.
-  uint64_t limits_known = 0;
+  uint64_t known_limits_revision = 0;
 };
 
-struct NewsAnswer {
-  NewsState state;
+struct GossipReply {
+  GossipState state;
   /// The answerer's configuration, compressed, where the asker wants it.
   std::string config;
   /// Registrations that the asker lacks, up to `state.servers_revision`.
   std::vector<LoggedObject> servers;
   /// `servers` is all there are.
-  bool servers_whole = false;
+  bool servers_complete = false;
   /// What the asker lacks of the answerer's facts. At rest a number only.
-  PoisonNews poison;
+  PoisonUpdate poison;
   /// The same of the limits that servers name.
-  LimitNews limits;
+  LimitUpdate limits;
 };
 
-std::string EncodeNewsAsk(const NewsAsk& ask);
-std::string EncodeNewsAnswer(const NewsAnswer& answer);
+std::string EncodeGossipRequest(const GossipRequest& request);
+std::string EncodeGossipReply(const GossipReply& reply);
 
 /// Refuse bytes of another protocol version or shape.
-Result<NewsAsk> DecodeNewsAsk(std::string_view bytes);
-Result<NewsAnswer> DecodeNewsAnswer(std::string_view bytes);
+Result<GossipRequest> DecodeGossipRequest(std::string_view bytes);
+Result<GossipReply> DecodeGossipReply(std::string_view bytes);
 
 /// What a host can carry, to compare hosts of one fleet: its link in Mbit/s
 /// times its share of a processor. At least 1.
@@ -147,9 +147,9 @@
                                       size_t count);
 
 /// What to answer, given what both sides have. `own_config` is compressed.
-NewsAnswer AnswerNews(const NewsState& own,
-                      const std::string& own_config,
-                      const ChangeLog& servers,
-                      const NewsAsk& ask);
+GossipReply MakeGossipReply(const GossipState& own,
+                            const std::string& own_config,
+                            const ChangeLog& servers,
+                            const GossipRequest& request);
 
 }  // namespace filbertrack
--- a/include/filbertrack/gossip_watchers.h
+++ b/include/filbertrack/gossip_watchers.h
@@ -23,17 +23,17 @@
   /// After its start a host watches only after this over its capacity: the
   /// weaker it is, the surer that stronger ones do, whether it has heard of
   /// them yet or not.
-  Duration weak_wait = Seconds(8);
+  Duration weak_host_delay = Seconds(8);
   /// In a fleet that starts for the first time, when no host is listed yet,
   /// hosts that are as strong as each other begin over this time, in the order
   /// in which they would be chosen: listings of the others are that old at the
   /// most.
-  Duration first_spread = Seconds(3);
+  Duration first_start_spread = Seconds(3);
   /// No host waits longer: none may be stronger.
-  Duration longest_wait = Seconds(4);
+  Duration max_wait = Seconds(4);
   /// So long after the start hosts that are listed count as there though they
   /// were not heard, unless half of them were.
-  Duration trusts_list = Seconds(8);
+  Duration listed_grace_period = Seconds(8);
 };
 
 /// What a host knows as it decides.
@@ -47,7 +47,7 @@
   /// Other hosts that are listed, but for those that do not answer.
   std::span<const FleetHost> listed;
   /// Other hosts that were heard of lately.
-  std::span<const FleetHost> heard;
+  std::span<const FleetHost> live;
 };
 
 bool ShouldWatch(const WatchView& view, const WatchPolicy& policy);
--- a/include/filbertrack/groups_assign.h
+++ b/include/filbertrack/groups_assign.h
@@ -35,8 +35,8 @@
 /// Serving groups whose replicas in `domain` may start a change of version:
 /// every other replica of the group serves, and no domain of a lower name
 /// still has one of the old version.
-std::vector<std::string> MayRoll(const Resources& resources,
-                                 const DomainSummaries& domains,
-                                 std::string_view domain);
+std::vector<std::string> RolloutCandidates(const Resources& resources,
+                                           const DomainSummaries& domains,
+                                           std::string_view domain);
 
 }  // namespace filbertrack
--- a/include/filbertrack/groups_evidence.h
+++ b/include/filbertrack/groups_evidence.h
@@ -41,13 +41,13 @@
 
 /// A line from a standing response: the engine's own clock, and its report
 /// where that changed since the line before.
-struct BeatLine {
+struct HeartbeatLine {
   int64_t engine_clock_us = 0;
   std::optional<MemberReport> report;
 };
 
-Result<BeatLine> ParseBeatLine(std::string_view line);
-std::string FormatBeatLine(const BeatLine& beat);
+Result<HeartbeatLine> ParseHeartbeatLine(std::string_view line);
+std::string FormatHeartbeatLine(const HeartbeatLine& beat);
 
 /// What an engine says of its load in the header Filbert-Load of an answer, as
 /// a JSON list: running, queued, slots, prefill in microseconds. It costs no
@@ -67,13 +67,13 @@
  public:
   /// The standing response was asked for at `asked_at`, by this process's
   /// clock.
-  void OnConnect(TimePoint asked_at);
+  void OnConnect(TimePoint requested_at);
 
-  void OnBeat(const BeatLine& beat, TimePoint now);
+  void OnHeartbeatLine(const HeartbeatLine& beat, TimePoint now);
 
   /// The first answer took so long that lines on this connection look older
   /// than they are; the reader asks anew.
-  bool IsLoose() const { return m_loose; }
+  bool NeedsReconnect() const { return m_needs_reconnect; }
 
   /// The connection ended: the engine is known to be gone, not just silent.
   void OnDisconnected();
@@ -90,10 +90,10 @@
  private:
   std::optional<MemberReport> m_report;
   std::optional<TimePoint> m_alive_at;
-  TimePoint m_asked_at;
+  TimePoint m_requested_at;
   std::optional<Duration> m_clock_offset;
   bool m_connected = false;
-  bool m_loose = false;
+  bool m_needs_reconnect = false;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/groups_lease.h
+++ b/include/filbertrack/groups_lease.h
@@ -25,7 +25,7 @@
   Duration duration = Seconds(6);
   Duration renew_every = Seconds(2);
   /// An order to an engine may arrive this long after it was sent.
-  Duration order_life = Seconds(2);
+  Duration order_ttl = Seconds(2);
 };
 
 /// A controller's own lease: one heartbeat for all the domains it holds.
@@ -62,7 +62,7 @@
                    TimePoint now);
 
 /// A controller's hold on one domain.
-struct DomainHold {
+struct DomainOwnership {
   DomainLease lease;
   /// Term of the keeper in which this controller last wrote the domain's
   /// object; 0: never.
@@ -72,7 +72,7 @@
 /// Whether `self` may write the domain or send an order now. It must be asked
 /// right before each send: a process that was paused between its decision and
 /// the send would otherwise send under a lease that another has taken.
-bool MayAct(const DomainHold& hold,
+bool MayAct(const DomainOwnership& ownership,
             std::string_view self,
             const LeaseKeeper& keeper,
             const LeasePolicy& policy,
@@ -82,11 +82,11 @@
 /// read just now. `rank_delay` spreads the challengers, so that one of them
 /// usually wins without a conflict. `lease_seen` is when the domain's present
 /// lease was first seen.
-bool MayTake(const DomainLease& lease,
-             TimePoint lease_seen,
-             const HolderView& view,
-             const LeasePolicy& policy,
-             Duration rank_delay,
-             TimePoint now);
+bool MayAcquire(const DomainLease& lease,
+                TimePoint lease_seen,
+                const HolderView& view,
+                const LeasePolicy& policy,
+                Duration rank_delay,
+                TimePoint now);
 
 }  // namespace filbertrack
--- a/include/filbertrack/groups_plan.h
+++ b/include/filbertrack/groups_plan.h
@@ -72,7 +72,7 @@
   const std::map<std::string, int>& wanted;
   /// Serving groups of which one replica here may leave service now for a
   /// change of version, so that capacity elsewhere keeps what sales promised.
-  const std::vector<std::string>& may_roll;
+  const std::vector<std::string>& rollout_candidates;
   /// When this controller first saw each group in its present epoch and phase.
   const std::map<std::string, TimePoint>& phase_since;
 };
--- a/include/filbertrack/groups_state.h
+++ b/include/filbertrack/groups_state.h
@@ -86,7 +86,7 @@
   bool operator==(const DomainState&) const = default;
 };
 
-inline constexpr size_t kMostDecisions = 64;
+inline constexpr size_t kMaxDecisions = 64;
 
 void AppendDecision(DomainState& state, DecisionRecord record);
 
--- a/include/filbertrack/http_client.h
+++ b/include/filbertrack/http_client.h
@@ -49,7 +49,7 @@
   bool fresh_connection = false;
   /// After the call at most this many idle connections to the address stay
   /// open, within the client's own bound.
-  size_t most_kept = std::numeric_limits<size_t>::max();
+  size_t max_kept = std::numeric_limits<size_t>::max();
 };
 
 class HttpClient;
--- a/include/filbertrack/keyed_ledger.h
+++ b/include/filbertrack/keyed_ledger.h
@@ -41,7 +41,7 @@
   bool has_body = false;
 };
 
-using KeyOrder = std::variant<KeyClaim, KeyCompletion>;
+using KeyOperation = std::variant<KeyClaim, KeyCompletion>;
 
 enum class KeyVerdict {
   kRun,
@@ -53,7 +53,7 @@
   /// It ran; here is its answer.
   kReplay,
   /// It ran; its answer is not kept.
-  kAnswerGone,
+  kAnswerNotStored,
   /// Nothing could be recorded; nothing may run.
   kUnavailable,
   /// The completion is recorded.
@@ -76,11 +76,11 @@
  public:
   /// The answer that needs no new record; nullopt where the order must be
   /// recorded first.
-  std::optional<KeyAnswer> Peek(const KeyOrder& order,
+  std::optional<KeyAnswer> Peek(const KeyOperation& operation,
                                 const IsLiveNode& is_live) const;
 
   /// Applies a recorded order. Applying one twice changes nothing.
-  void Apply(const KeyOrder& order);
+  void Apply(const KeyOperation& operation);
 
   size_t size() const { return m_entries.size(); }
 
@@ -98,11 +98,11 @@
   std::map<std::string, Entry, std::less<>> m_entries;
 };
 
-nlohmann::json ToJson(const KeyOrder& order);
-Result<KeyOrder> ParseKeyOrder(const nlohmann::json& value);
+nlohmann::json ToJson(const KeyOperation& operation);
+Result<KeyOperation> ParseKeyOperation(const nlohmann::json& value);
 
-std::string EncodeKeyOrder(const KeyOrder& order);
-Result<KeyOrder> DecodeKeyOrder(std::string_view bytes);
+std::string EncodeKeyOperation(const KeyOperation& operation);
+Result<KeyOperation> DecodeKeyOperation(std::string_view bytes);
 std::string EncodeKeyAnswer(const KeyAnswer& answer);
 /// Bytes that cannot be read are an answer of kUnavailable.
 KeyAnswer DecodeKeyAnswer(std::string_view bytes);
@@ -111,6 +111,6 @@
 std::string LedgerKey(std::string_view workspace,
                       std::string_view idempotency_key);
 
-const std::string& KeyOf(const KeyOrder& order);
+const std::string& KeyOf(const KeyOperation& operation);
 
 }  // namespace filbertrack
--- a/include/filbertrack/keyed_partition.h
+++ b/include/filbertrack/keyed_partition.h
@@ -23,7 +23,7 @@
   /// Orders gather for this long before a write.
   Duration gather = Milliseconds(40);
   /// An order that is not recorded by then is answered as unavailable.
-  Duration give_up = Seconds(2);
+  Duration operation_timeout = Seconds(2);
   /// Between two tries to read the log while the store does not answer.
   Duration retry = Milliseconds(200);
   /// A head larger than this is sealed into a segment.
@@ -40,11 +40,12 @@
   std::string value;
   uint64_t expected_version = 0;
 };
-struct AnswerOrder {
+struct AnswerKeyOperation {
   uint64_t id = 0;
   KeyAnswer answer;
 };
-using KeyAction = std::variant<ReadKeyObject, WriteKeyObject, AnswerOrder>;
+using KeyAction =
+    std::variant<ReadKeyObject, WriteKeyObject, AnswerKeyOperation>;
 
 /// What came of a read or a write.
 enum class KeyStoreStatus { kOk, kConflict, kNotFound, kUnavailable };
@@ -56,7 +57,7 @@
 
   /// An order; its answer comes as an action with the same id, at the latest
   /// after `give_up`.
-  void Submit(uint64_t id, KeyOrder order, TimePoint now);
+  void Submit(uint64_t id, KeyOperation operation, TimePoint now);
 
   /// To be called often. `wall_ms` dates sealed segments.
   std::vector<KeyAction> OnTick(const IsLiveNode& is_live,
@@ -76,9 +77,9 @@
   uint64_t writes() const { return m_writes; }
 
  private:
-  struct Waiting {
+  struct PendingOperation {
     uint64_t id = 0;
-    KeyOrder order;
+    KeyOperation operation;
     TimePoint since;
   };
   struct Segment {
@@ -88,16 +89,16 @@
   };
   struct Head {
     std::vector<Segment> segments;
-    std::vector<KeyOrder> orders;
+    std::vector<KeyOperation> operations;
   };
   enum class Step { kIdle, kReading, kWriting, kSealing };
 
   std::string HeadKey() const { return "keyed/" + m_name + "/head"; }
-  std::string HeadText(const Head& head) const;
+  std::string SerializeHead(const Head& head) const;
   bool ParseHead(std::string_view text);
-  void Forget();
+  void DiscardLoadedState();
   std::vector<KeyAction> ReadNext();
-  std::vector<KeyAction> GiveUpOld(TimePoint now);
+  std::vector<KeyAction> AnswerTimedOut(TimePoint now);
   std::vector<KeyAction> StartBatch(const IsLiveNode& is_live, TimePoint now);
   std::vector<KeyAction> StartSeal(int64_t wall_ms);
   KeyAction WriteHead(Head head);
@@ -110,9 +111,9 @@
   Head m_head;
   std::set<std::string> m_read_segments;
   KeyLedger m_ledger;
-  std::vector<Waiting> m_waiting;
+  std::vector<PendingOperation> m_pending;
   /// Orders of the write that is under way.
-  std::vector<Waiting> m_batch;
+  std::vector<PendingOperation> m_batch;
   Head m_next_head;
   std::string m_sealing_key;
   std::optional<TimePoint> m_last_batch;
--- a/include/filbertrack/load_plan.h
+++ b/include/filbertrack/load_plan.h
@@ -32,7 +32,7 @@
   /// Prompt prefixes, drawn with a weight of 1/rank^skew.
   int prefixes = 16;
   double prefix_skew = 1;
-  int most_tokens = 32;
+  int max_tokens = 32;
   std::vector<LoadWorkspace> workspaces;
 };
 
--- a/include/filbertrack/load_runner.h
+++ b/include/filbertrack/load_runner.h
@@ -57,7 +57,7 @@
   /// From the moment the request was due.
   LatencyHistogram first_token;
   LatencyHistogram whole;
-  Duration longest_gap{0};
+  Duration max_gap{0};
 };
 
 class LoadRunner {
--- a/include/filbertrack/log_buffer.h
+++ b/include/filbertrack/log_buffer.h
@@ -20,7 +20,7 @@
 
 class LogBuffer {
  public:
-  LogBuffer(int fd, size_t most_bytes) : m_fd(fd), m_most_bytes(most_bytes) {}
+  LogBuffer(int fd, size_t max_bytes) : m_fd(fd), m_max_bytes(max_bytes) {}
 
   /// False where the line was dropped: the buffer is full.
   bool Add(std::string_view line);
@@ -34,7 +34,7 @@
 
  private:
   int m_fd;
-  size_t m_most_bytes;
+  size_t m_max_bytes;
   std::string m_text;
   uint64_t m_dropped = 0;
   bool m_closed = false;
--- a/include/filbertrack/peer_frame.h
+++ b/include/filbertrack/peer_frame.h
@@ -9,7 +9,7 @@
 
 namespace filbertrack {
 
-inline constexpr size_t kMostPeerMessageBytes = 4 * 1024 * 1024;
+inline constexpr size_t kMaxPeerMessageBytes = 4 * 1024 * 1024;
 
 /// One direction of a connection. Both sides make the same from the shared key,
 /// their two nonces and the direction's name.
@@ -25,10 +25,10 @@
   /// direction of this connection.
   std::optional<std::string_view> Open(std::string_view frame);
 
-  static constexpr size_t kCodeBytes = 16;
+  static constexpr size_t kMacBytes = 16;
 
  private:
-  std::string Code(std::string_view payload) const;
+  std::string ComputeMac(std::string_view payload) const;
 
   std::string m_key;
   std::string m_context;
--- a/include/filbertrack/peer_message.h
+++ b/include/filbertrack/peer_message.h
@@ -28,7 +28,7 @@
 inline constexpr Duration kEvidenceAgeUnit = Milliseconds(20);
 
 /// A part of an entitlement that the asker lacks, in requests per second.
-struct LoanWish {
+struct EntitlementLoan {
   std::string workspace;
   std::string service;
   double requests_per_second = 0;
@@ -44,27 +44,27 @@
 };
 
 /// "What do you know that I do not?"
-struct ExchangeAsk {
+struct ExchangeRequest {
   PeerState from;
   uint64_t cache_digest = 0;
   uint64_t table_digest = 0;
   std::vector<std::string> wanted_objects;
-  std::vector<LoanWish> loan_wishes;
+  std::vector<EntitlementLoan> loan_requests;
 };
 
-struct PeerNews {
+struct PeerUpdate {
   PeerState state;
   Duration age{0};
 };
 
-struct ExchangeAnswer {
+struct ExchangeReply {
   PeerState from;
   uint64_t cache_digest = 0;
   /// Only where the digests of the caches differ.
   std::vector<ObjectVersion> inventory;
   std::vector<StoredObject> objects;
   /// Only where the digests of the tables differ.
-  std::vector<PeerNews> peers;
+  std::vector<PeerUpdate> peers;
   /// Otherwise: ages of the answerer's peers in the order of names, without
   /// the answerer.
   std::vector<uint8_t> peer_ages;
@@ -72,25 +72,25 @@
   std::vector<GroupEvidence> evidence;
   /// Otherwise: two bytes a group, in the order of the cached groups' ids.
   std::vector<uint8_t> evidence_bytes;
-  std::vector<LoanWish> loans;
+  std::vector<EntitlementLoan> loans;
 };
 
 /// Keys whose requests the asker wants to run, or has run; see keyed_ledger.h.
-struct KeyedOrder {
+struct KeyedOperation {
   std::string key;
   std::string payload;  ///< CBOR of the claim or completion.
 };
-struct KeyedAsk {
+struct KeyedRequest {
   std::string from;
-  std::vector<KeyedOrder> orders;
+  std::vector<KeyedOperation> orders;
 };
-struct KeyedAnswer {
+struct KeyedReply {
   /// One a order; CBOR of the verdict.
   std::vector<std::string> verdicts;
 };
 
 using PeerMessage =
-    std::variant<ExchangeAsk, ExchangeAnswer, KeyedAsk, KeyedAnswer>;
+    std::variant<ExchangeRequest, ExchangeReply, KeyedRequest, KeyedReply>;
 
 std::string EncodePeerMessage(const PeerMessage& message);
 
@@ -98,6 +98,6 @@
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes);
 
 /// One byte for an age: 255 units or more read as 255.
-uint8_t PackAge(Duration age, Duration unit, uint8_t most);
+uint8_t PackAge(Duration age, Duration unit, uint8_t max_units);
 
 }  // namespace filbertrack
--- a/include/filbertrack/poison_ledger.h
+++ b/include/filbertrack/poison_ledger.h
@@ -45,14 +45,14 @@
 // Facts.
 
 /// A server ended while it had the request.
-struct EndedUnder {
-  ServerLife server;
+struct EndedDuringRequest {
+  ServerInstance server;
   RequestDigest digest;
   EndProgress progress = EndProgress::kNoAnswer;
 };
 /// A server that was said to have ended has answered since.
 struct FoundAlive {
-  ServerLife server;
+  ServerInstance server;
 };
 /// The request was answered to its end, or an operator lifted its mark.
 struct Cleared {
@@ -60,7 +60,7 @@
 };
 /// So many servers ended under the request: it reaches no more. It holds since
 /// the first of these ends, so that an answer after that speaks against it.
-struct Marked {
+struct Blocked {
   RequestDigest digest;
   int ends = 0;
   /// Copies let through since.
@@ -68,11 +68,12 @@
 };
 /// A marked request was let through this many times, to see whether servers
 /// still end under it.
-struct Tried {
+struct TrialsSent {
   RequestDigest digest;
   int trials = 0;
 };
-using PoisonFact = std::variant<EndedUnder, FoundAlive, Cleared, Marked, Tried>;
+using PoisonFact =
+    std::variant<EndedDuringRequest, FoundAlive, Cleared, Blocked, TrialsSent>;
 
 struct TimedPoisonFact {
   PoisonFact fact;
@@ -80,7 +81,7 @@
 };
 
 /// Facts for another entry host.
-struct PoisonNews {
+struct PoisonUpdate {
   /// The teller's facts up to this revision are told with these.
   uint64_t revision = 0;
   std::vector<TimedPoisonFact> facts;
@@ -89,7 +90,7 @@
 struct PoisonPolicy {
   /// What a request is turned away at: three ends at which it had just begun. A
   /// second end may be chance where many servers end at once.
-  int evidence_to_mark = 60;
+  int evidence_to_block = 60;
   /// What one end is worth, by how far the request was. Those that ran for a
   /// while, or may have waited, are at ends by chance much more often, so they
   /// need a fourth and a fifth end.
@@ -98,16 +99,16 @@
   int answering_evidence = 12;
   /// An end counts after this: reports of other entry hosts, who had the
   /// culprit there, take up to three rounds of questions.
-  Duration settle = Milliseconds(500);
+  Duration settle_time = Milliseconds(500);
   /// The same where reports pass through hosts that speak for a data centre:
   /// these ask each other every 300 ms, and are asked every 600 ms.
-  Duration far_settle = Milliseconds(1500);
+  Duration relayed_settle = Milliseconds(1500);
   /// Words that clear are the same word within this time. A fact grows younger
   /// by its time on the way with each host that passes it on; taken for a later
   /// one, it would be passed round for ever and clear ends that came after it.
-  Duration same_word = Milliseconds(500);
+  Duration duplicate_window = Milliseconds(500);
   /// Ends further apart than this are not connected.
-  Duration fact_life = Seconds(600);
+  Duration fact_ttl = Seconds(600);
   /// One copy is let through after these times, over the whole fleet. All
   /// servers of a service that lose power together end under the requests that
   /// callers send all the time; an answer to the copy takes their mark off. Two
@@ -116,15 +117,15 @@
   std::array<Duration, 2> trial_pauses = {Seconds(5), Seconds(60)};
   /// A mark that nobody lifts ends after a day: what made the servers end may
   /// be mended. One more end marks the request again.
-  Duration mark_life = Seconds(24 * 3600);
+  Duration block_ttl = Seconds(24 * 3600);
   /// Bounds memory to about 200 KB. Ends of requests that were at one end only
   /// go first, so that ever new requests do not push out one that comes again.
-  size_t most_ends = 1024;
-  size_t most_marks = 256;
+  size_t max_ends = 1024;
+  size_t max_blocks = 256;
   /// Words that clear a request or a server, kept against late reports of ends.
-  size_t most_words = 1024;
+  size_t max_records = 1024;
   /// Facts in one message: 15 KB.
-  size_t most_told = 256;
+  size_t max_records_per_message = 256;
 };
 
 class PoisonLedger {
@@ -135,38 +136,38 @@
       : m_policy(policy), m_revision(first_revision) {}
 
   /// Whether reports pass through hosts that speak for a data centre.
-  void SetFar(bool is_far) { m_is_far = is_far; }
+  void SetRelayed(bool is_relayed) { m_is_relayed = is_relayed; }
 
   /// Takes up a fact that held at `at`; false where it says nothing new.
   bool Note(const PoisonFact& fact, TimePoint at);
 
   /// Forgets what is old, and marks requests. Returns the new marks.
-  std::vector<Marked> Settle(TimePoint now);
+  std::vector<Blocked> UpdateBlocks(TimePoint now);
 
   /// Whether the request must reach no further server.
-  bool IsMarked(const RequestDigest& digest) const;
+  bool IsBlocked(const RequestDigest& digest) const;
   /// Whether a copy of the marked request may be let through now.
-  bool MayTry(const RequestDigest& digest, TimePoint now) const;
+  bool MayStartTrial(const RequestDigest& digest, TimePoint now) const;
   void BeginTrial(const RequestDigest& digest, TimePoint now);
   /// Whether a server ended under the request, so that its answer is news.
   bool IsSuspect(const RequestDigest& digest) const;
   /// Neither ends nor marks are known.
-  bool IsEmpty() const { return m_ends.empty() && m_marks.empty(); }
+  bool IsEmpty() const { return m_ends.empty() && m_blocks.empty(); }
   /// When this life of a server was first said to have ended.
-  std::optional<TimePoint> EndedAt(const ServerLife& server) const;
+  std::optional<TimePoint> EndedAt(const ServerInstance& server) const;
   /// Marks in force.
-  std::vector<Marked> Marks() const;
+  std::vector<Blocked> ActiveBlocks() const;
   /// Servers whose ends are laid to the request now.
-  std::vector<std::string> EndsLaidTo(const RequestDigest& digest,
-                                      TimePoint now) const;
-  size_t CountEnds() const { return m_end_rows; }
+  std::vector<std::string> EndsAttributedTo(const RequestDigest& digest,
+                                            TimePoint now) const;
+  size_t CountEnds() const { return m_end_count; }
   /// Servers that ended while they had the request, whoever is to blame.
   int CountEndsOf(const RequestDigest& digest) const;
 
   uint64_t revision() const { return m_revision; }
   /// Facts that came after `known`, a revision of this ledger, the oldest
   /// first; all of them where it is none.
-  PoisonNews Since(uint64_t known, TimePoint now) const;
+  PoisonUpdate Since(uint64_t known, TimePoint now) const;
 
  private:
   struct End {
@@ -178,74 +179,74 @@
     TimePoint at;
     uint64_t revision = 0;
   };
-  struct Mark {
+  struct Block {
     int ends = 0;
     TimePoint at;
     uint64_t revision = 0;
     int trials = 0;
     TimePoint tried_at;
-    bool lapsed = false;
+    bool expired = false;
     /// Stronger marked requests explain its ends.
-    bool doubted = false;
+    bool explained = false;
 
-    bool IsInForce() const { return !lapsed && !doubted; }
+    bool IsActive() const { return !expired && !explained; }
   };
   using Suspects = std::map<RequestDigest, End>;
 
-  bool Take(const EndedUnder& fact, TimePoint at);
-  bool Take(const FoundAlive& fact, TimePoint at);
-  bool Take(const Cleared& fact, TimePoint at);
-  bool Take(const Marked& fact, TimePoint at);
-  bool Take(const Tried& fact, TimePoint at);
+  bool Apply(const EndedDuringRequest& fact, TimePoint at);
+  bool Apply(const FoundAlive& fact, TimePoint at);
+  bool Apply(const Cleared& fact, TimePoint at);
+  bool Apply(const Blocked& fact, TimePoint at);
+  bool Apply(const TrialsSent& fact, TimePoint at);
 
-  void EraseEnd(const ServerLife& server, const RequestDigest& digest);
+  void EraseEnd(const ServerInstance& server, const RequestDigest& digest);
   /// All hosts had time to tell of the server's end. A host knows its own
   /// requests' part in it before it hears of the culprit that another host had
   /// there; it counts for all of them or for none.
-  bool IsTold(const Suspects& suspects, TimePoint now) const;
+  bool HasSettled(const Suspects& suspects, TimePoint now) const;
   /// How strongly a request is suspected: the evidence of all its ends. A
   /// request beside the culprit may be at one end more where the report of that
   /// one was lost with its host; it does not outweigh it for that.
-  int Weight(const RequestDigest& digest, TimePoint now) const;
-  bool IsLaidTo(const Suspects& suspects,
-                const RequestDigest& digest,
-                TimePoint now) const;
-  struct Verdict {
+  int TotalEvidence(const RequestDigest& digest, TimePoint now) const;
+  bool IsAttributedTo(const Suspects& suspects,
+                      const RequestDigest& digest,
+                      TimePoint now) const;
+  struct Attribution {
     /// Ends laid to the request that all hosts had time to tell of.
     int ends = 0;
     int evidence = 0;
     TimePoint first_end;
   };
-  Verdict Judge(const RequestDigest& digest, TimePoint now) const;
+  Attribution AttributeEnds(const RequestDigest& digest, TimePoint now) const;
   int EvidenceOf(EndProgress progress) const;
   /// A host that was cut off from the one which had the culprit may have marked
   /// a request that was at the same ends. With that host's reports its mark is
   /// in force no more. Nothing is erased: all hosts see it alike.
-  void DoubtMarks(TimePoint now);
+  void ReviewBlocks(TimePoint now);
   /// Evidence of the ends that no stronger marked request was at.
   int UnexplainedEvidence(const RequestDigest& digest, TimePoint now) const;
-  void ForgetOld(TimePoint now);
+  void EvictExpired(TimePoint now);
   void BoundEnds();
-  void BoundMarks();
+  void BoundBlocks();
   /// Drops the oldest word above the bound.
-  template <typename Words>
-  void BoundWords(Words& words) const;
+  template <typename Records>
+  void BoundRecords(Records& records) const;
   struct Row {
     uint64_t revision = 0;
     TimedPoisonFact timed;
   };
   /// The facts that came after this revision, the oldest first.
-  std::vector<Row> RowsAfter(uint64_t revision, TimePoint now) const;
+  std::vector<Row> FactsAfter(uint64_t revision, TimePoint now) const;
 
   PoisonPolicy m_policy;
-  bool m_is_far = false;
+  bool m_is_relayed = false;
   uint64_t m_revision;
-  std::map<ServerLife, Suspects> m_ends;
-  std::map<RequestDigest, std::set<ServerLife>> m_ends_of;
-  size_t m_end_rows = 0;
-  std::map<ServerLife, Stamp> m_alive;
+  std::map<ServerInstance, Suspects> m_ends;
+  std::map<RequestDigest, std::set<ServerInstance>> m_ends_of;
+  size_t m_end_count = 0;
+  std::map<ServerInstance, Stamp> m_alive;
   std::map<RequestDigest, Stamp> m_cleared;
-  std::map<RequestDigest, Mark> m_marks;
+  std::map<RequestDigest, Block> m_blocks;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/replica_plan.h
+++ b/include/filbertrack/replica_plan.h
@@ -39,15 +39,15 @@
   kGone,
 };
 
-struct HostFinding {
+struct HostProbeResult {
   HostHealth health = HostHealth::kAnswers;
   /// It carries out an order, such as a load.
   bool busy = false;
   /// Start of the process that this is about, Unix ms; 0: not told.
-  uint64_t born_ms = 0;
+  uint64_t process_start_ms = 0;
 };
 
-using HostFindings = std::map<std::string, HostFinding, std::less<>>;
+using HostProbeResults = std::map<std::string, HostProbeResult, std::less<>>;
 
 /// Every host of `members` joins the group; the first one is the head.
 struct JoinGroup {
@@ -88,7 +88,7 @@
   ReplicaOrder order;
   std::string reason;
   /// Hosts that get it; empty: all that the order names.
-  std::vector<std::string> only;
+  std::vector<std::string> recipients;
 };
 
 struct ReplicaPolicy {
@@ -98,17 +98,17 @@
   /// Beyond `stall`, for reports that are under way.
   Duration stall_margin = Seconds(1);
   /// An order that was not answered may be carried out up to this much later.
-  Duration order_life = Seconds(12);
+  Duration order_ttl = Seconds(12);
   /// An order that shows no effect after this is given again. A report comes
   /// some 50 ms after its order was carried out, half a second while the store
   /// is slow.
   Duration order_retry = Milliseconds(500);
   /// A group some members of which do not begin to join is given up after this:
   /// three further orders to each.
-  Duration forming_patience = Milliseconds(2000);
+  Duration forming_timeout = Milliseconds(2000);
   /// The same where the head does not begin, which is not ordered again: longer
   /// than two reports of one group lie apart while the store is slow.
-  Duration headless_patience = Milliseconds(1000);
+  Duration headless_timeout = Milliseconds(1000);
   /// Hosts kept free in each fabric domain, so that a lost member is replaced
   /// from weights that are staged already.
   int spares_per_domain = 2;
@@ -124,10 +124,10 @@
   /// that is over by then must not move hosts.
   Duration pressure_window = Seconds(4);
   /// By how much, either way, the pressure may change a model's share.
-  double most_share_change = 2;
+  double max_share_change = 2;
   /// A joining group that is not ready after this many times its expected time
   /// is given up.
-  double join_patience = 3;
+  double join_timeout_factor = 3;
 
   // Switches, to measure what each mechanism is worth.
 
@@ -148,7 +148,7 @@
 };
 
 /// When a host was given an order, and what it reported then.
-struct GivenOrder {
+struct RecentOrder {
   TimePoint at;
   std::optional<Membership> before;
 };
@@ -162,7 +162,7 @@
 };
 
 /// An order to join a group that was not ordered to open yet.
-struct GivenJoin {
+struct PendingJoin {
   JoinGroup order;
   TimePoint last_sent;
   /// The group is not given up.
@@ -173,23 +173,23 @@
 struct ReplicaMemory {
   /// Number of the controller's lease; epochs begin with it.
   uint64_t term = 0;
-  uint64_t last_number = 0;
+  uint64_t last_epoch_number = 0;
   /// The latest order to each host; no other follows until its effect shows or
   /// `order_retry` has passed.
-  std::map<std::string, GivenOrder, std::less<>> given;
+  std::map<std::string, RecentOrder, std::less<>> recent_orders;
   /// Epoch of the latest group that each host was ordered to join.
   std::map<std::string, uint64_t, std::less<>> ordered_epoch;
   /// Smoothed pressure of each model, and when it was last brought up to date.
   std::map<std::string, double, std::less<>> pressure;
   TimePoint pressure_at;
   /// First pass of the term.
-  std::optional<TimePoint> began;
+  std::optional<TimePoint> term_start;
   /// Orders to open by group; forgotten once none of them can arrive any more.
-  std::map<std::string, OpenOrders, std::less<>> opens;
+  std::map<std::string, OpenOrders, std::less<>> open_orders;
   /// Groups whose head is not registered any more, since when, by key.
   std::map<std::string, TimePoint, std::less<>> headless_since;
   /// Orders to join by group, until it is ordered to open.
-  std::map<std::string, GivenJoin, std::less<>> joins;
+  std::map<std::string, PendingJoin, std::less<>> pending_joins;
   /// First sight of each joining group.
   std::map<std::string, TimePoint, std::less<>> joining_since;
   /// Starts of loads in the latest window, and loads that are not done.
@@ -197,12 +197,12 @@
   std::map<std::string, StartedLoad, std::less<>> loading;
   /// Start of the process of each host, Unix ms: of one that started again,
   /// orders and loads that were under way are over.
-  std::map<std::string, uint64_t, std::less<>> lives;
+  std::map<std::string, uint64_t, std::less<>> process_starts;
 };
 
 struct ReplicaInput {
   const ServerDirectory& directory;
-  const HostFindings& findings;
+  const HostProbeResults& probe_results;
   const ServiceProfile& service;
   /// No request has come yet: loads are quick and not rationed.
   bool before_traffic = false;
@@ -223,7 +223,7 @@
 
 /// The host that an order went to has answered it, whatever it said: the order
 /// will not be carried out later.
-void NoteOrderAnswered(const ReplicaOrder& order, ReplicaMemory& memory);
+void OnOrderAnswered(const ReplicaOrder& order, ReplicaMemory& memory);
 
 /// What the hosts of a service do, counted.
 struct ReplicaCounts {
--- a/include/filbertrack/request_held_answers.h
+++ b/include/filbertrack/request_held_answers.h
@@ -19,15 +19,15 @@
 
 struct HeldAnswersPolicy {
   /// Bound of all bytes held for callers.
-  size_t most_bytes = 64 * 1024 * 1024;
+  size_t max_bytes = 64 * 1024 * 1024;
   /// From this part of the bound on, nothing more is read from servers for
   /// callers that do not keep up.
-  double pause_part = 0.5;
+  double pause_fraction = 0.5;
   /// An answer counts as read while its caller took a byte within this.
-  Duration read_within = Seconds(1);
+  Duration read_timeout = Seconds(1);
 };
 
-struct HeldAnswersVerdict {
+struct HeldAnswersDecision {
   /// Answers that wait for their callers are read no further.
   bool pauses = false;
   /// No further request is taken.
@@ -38,8 +38,8 @@
 
 /// `other_bytes`: held for callers beside their answers, such as bodies of
 /// requests. An answer that is being read is never dropped.
-HeldAnswersVerdict JudgeHeldAnswers(std::span<const HeldAnswer> answers,
-                                    size_t other_bytes,
-                                    const HeldAnswersPolicy& policy);
+HeldAnswersDecision EvaluateHeldAnswers(std::span<const HeldAnswer> answers,
+                                        size_t other_bytes,
+                                        const HeldAnswersPolicy& policy);
 
 }  // namespace filbertrack
--- a/include/filbertrack/request_intake.h
+++ b/include/filbertrack/request_intake.h
@@ -35,8 +35,8 @@
 
 struct IntakePolicy {
   Duration default_deadline = Seconds(60);
-  Duration longest_deadline = Seconds(600);
-  size_t most_key_bytes = 200;
+  Duration max_deadline = Seconds(600);
+  size_t max_key_bytes = 200;
 };
 
 /// A request that is understood and whose workspace is known.
--- a/include/filbertrack/request_machine.h
+++ b/include/filbertrack/request_machine.h
@@ -38,9 +38,9 @@
 
 struct RequestPolicy {
   /// Targets that may run the request.
-  int most_attempts = 4;
+  int max_attempts = 4;
   /// Targets that it may be sent to, those that refused to run it included.
-  int most_sends = 4;
+  int max_sends = 4;
 };
 
 struct RequestState {
@@ -62,7 +62,7 @@
 };
 
 /// Whether the request may be sent once more, if it is one that may run again.
-bool HasTriesLeft(const RequestState& state, const RequestPolicy& policy);
+bool HasAttemptsLeft(const RequestState& state, const RequestPolicy& policy);
 
 // Events.
 
@@ -91,7 +91,7 @@
 /// The group behind the attempt is not whole any more.
 struct TargetLost {};
 struct DeadlinePassed {};
-struct CallerLeft {};
+struct CallerDisconnected {};
 
 using RequestEvent = std::variant<TargetChosen,
                                   NoTarget,
@@ -101,7 +101,7 @@
                                   AttemptFailed,
                                   TargetLost,
                                   DeadlinePassed,
-                                  CallerLeft>;
+                                  CallerDisconnected>;
 
 // Actions.
 
@@ -129,7 +129,7 @@
 };
 /// The stream has begun and cannot be finished: say so, and close the
 /// connection without the closing event or chunk.
-struct BreakStream {
+struct AbortStream {
   ResultCode code;
 };
 
@@ -139,7 +139,7 @@
                                    FinishStream,
                                    ForwardAnswer,
                                    Refuse,
-                                   BreakStream>;
+                                   AbortStream>;
 
 /// Begins a request: either a search for a target or, where the deadline has
 /// passed already, a refusal.
--- a/include/filbertrack/request_retry_budget.h
+++ b/include/filbertrack/request_retry_budget.h
@@ -10,7 +10,7 @@
 
 struct RetryBudgetPolicy {
   double earned_per_request = 0.2;
-  double most_saved = 50;
+  double max_saved = 50;
   /// Earned without load, so that a quiet host may retry at all.
   double earned_per_second = 1;
 };
@@ -18,7 +18,7 @@
 class RetryBudget {
  public:
   RetryBudget(RetryBudgetPolicy policy, TimePoint now)
-      : m_policy(policy), m_saved(policy.most_saved), m_updated(now) {}
+      : m_policy(policy), m_saved(policy.max_saved), m_updated(now) {}
 
   void OnRequest(TimePoint now);
 
@@ -27,7 +27,7 @@
   void SetPolicy(const RetryBudgetPolicy& policy, TimePoint now);
 
   /// The most retries that are saved up from now on.
-  void SetMostSaved(double most);
+  void SetMaxSaved(double max_saved);
 
   bool CanSpend(TimePoint now);
 
@@ -36,7 +36,7 @@
 
  private:
   void Earn(double amount);
-  void Refresh(TimePoint now);
+  void Refill(TimePoint now);
 
   RetryBudgetPolicy m_policy;
   double m_saved;
--- a/include/filbertrack/request_sse.h
+++ b/include/filbertrack/request_sse.h
@@ -19,21 +19,21 @@
   std::string raw;
 };
 
-class SseSplitter {
+class SseParser {
  public:
   /// Takes the next bytes; returns the events that they complete. Bytes of an
   /// event over `kMostEventBytes` make the stream invalid.
   std::vector<SseEvent> Push(std::string_view bytes);
 
   /// Whether bytes of an unfinished event are held.
-  bool has_rest() const { return !m_rest.empty(); }
+  bool has_partial_event() const { return !m_buffer.empty(); }
 
   bool valid() const { return m_valid; }
 
-  static constexpr size_t kMostEventBytes = 256 * 1024;
+  static constexpr size_t kMaxEventBytes = 256 * 1024;
 
  private:
-  std::string m_rest;
+  std::string m_buffer;
   /// Blocks without data since the last event.
   std::string m_skipped;
   bool m_valid = true;
--- a/include/filbertrack/routing_choice.h
+++ b/include/filbertrack/routing_choice.h
@@ -104,7 +104,7 @@
   Duration slow_start = Seconds(10);
   /// A target that failed is left out for this long, doubled with each failure.
   Duration failure_pause = Milliseconds(250);
-  Duration longest_pause = Seconds(10);
+  Duration max_failure_pause = Seconds(10);
   /// In flight above the target's slots, as a part of them.
   double queue_share = 1.0;
 };
--- a/include/filbertrack/server_directory.h
+++ b/include/filbertrack/server_directory.h
@@ -47,15 +47,17 @@
 
 /// Whether a process that started at `born_ms` is a later life of the server
 /// whose process started at `known_born_ms`; 0 stands for a time not told.
-inline bool IsLaterLife(uint64_t born_ms, uint64_t known_born_ms) {
-  return known_born_ms != 0 && born_ms > known_born_ms;
+inline bool IsNewerInstance(uint64_t process_start_ms,
+                            uint64_t known_process_start_ms) {
+  return known_process_start_ms != 0 &&
+         process_start_ms > known_process_start_ms;
 }
 
 struct BackendServer {
   std::string id;
   /// Start of the process, Unix ms; 0: not told. A process that starts again
   /// may keep its id; it then holds nothing of what it held before.
-  uint64_t born_ms = 0;
+  uint64_t process_start_ms = 0;
   std::string service;
   Address address;
   std::string data_centre;
@@ -106,7 +108,7 @@
   /// Registrations lapse while the store is away, also those of servers that
   /// live. They are back about two seconds after the store is; what is missing
   /// then is gone.
-  Duration lapse_grace = Milliseconds(2500);
+  Duration expiry_grace = Milliseconds(2500);
 };
 
 class ServerDirectory {
@@ -128,7 +130,7 @@
 
   /// The registrations were read whole. Only the first call counts: hosts
   /// without a group may have left one before this process could see it.
-  void OnFirstReading(TimePoint now);
+  void OnInitialListing(TimePoint now);
 
   /// The store was away until now.
   void OnStoreReturned(TimePoint now) { m_store_returned = now; }
@@ -192,7 +194,7 @@
 
  private:
   /// The server started again: it left its group as a host that died does.
-  void EndLife(BackendServer& known);
+  void ResetInstance(BackendServer& known);
   void NoteInterruption(const BackendServer& before,
                         const BackendServer& after);
   bool IsInterrupted(std::string_view group, uint64_t epoch) const;
@@ -210,7 +212,7 @@
   DirectoryPolicy m_policy;
   std::map<std::string, BackendServer, std::less<>> m_servers;
   const BackendServer* FindHead(std::string_view group, uint64_t epoch) const;
-  void TakeOut(std::string_view id, TimePoint now);
+  void RemoveRegistration(std::string_view id, TimePoint now);
   void NoteHeadRemoved(const BackendServer& head, TimePoint now);
 
   std::map<std::string, Departure, std::less<>> m_departures;
@@ -218,7 +220,7 @@
   /// have left its group meanwhile.
   std::map<std::string, BackendServer, std::less<>> m_removed;
   /// Groups whose head left, with their latest epoch; the name tells the group.
-  std::map<std::string, uint64_t, std::less<>> m_without_head;
+  std::map<std::string, uint64_t, std::less<>> m_headless_groups;
   /// Groups that lost a member which was ready, with their latest epoch.
   std::map<std::string, uint64_t, std::less<>> m_interrupted;
   /// By id of the head.
@@ -226,9 +228,9 @@
   /// Servers that are cold by their own word, and by assumption.
   std::map<std::string, TimePoint, std::less<>> m_cold;
   std::map<std::string, TimePoint, std::less<>> m_assumed_cold;
-  bool m_read = false;
+  bool m_listed = false;
   std::optional<TimePoint> m_last_arrival;
-  std::map<std::string, TimePoint, std::less<>> m_lapsed;
+  std::map<std::string, TimePoint, std::less<>> m_pending_removal;
   std::optional<TimePoint> m_store_returned;
 };
 
--- a/include/filbertrack/server_instance.h
+++ b/include/filbertrack/server_instance.h
@@ -9,13 +9,14 @@
 namespace filbertrack {
 
 /// One process of a backend server.
-struct ServerLife {
+struct ServerInstance {
   std::string id;
   /// Start of the process, Unix ms; 0: not told.
-  uint64_t born_ms = 0;
+  uint64_t process_start_ms = 0;
 
-  bool operator<(const ServerLife& other) const {
-    return std::tie(id, born_ms) < std::tie(other.id, other.born_ms);
+  bool operator<(const ServerInstance& other) const {
+    return std::tie(id, process_start_ms) <
+           std::tie(other.id, other.process_start_ms);
   }
 };
 
--- a/include/filbertrack/settings.h
+++ b/include/filbertrack/settings.h
@@ -41,7 +41,7 @@
   std::string fallback;
   bool required = false;
   std::vector<std::string> allowed;  ///< Empty: any text.
-  size_t least_bytes = 0;
+  size_t min_bytes = 0;
 };
 struct AddressKey {
   std::string fallback;  ///< Empty: the key is required.
--- a/include/filbertrack/site_catalog.h
+++ b/include/filbertrack/site_catalog.h
@@ -53,7 +53,7 @@
   /// 0 is the most urgent.
   int priority = 0;
   /// Backend servers that one request may be sent to.
-  int most_attempts = 1;
+  int max_attempts = 1;
   /// Needs no key.
   bool is_public = false;
   /// Its requests reach only backend servers of these regions; empty: any.
@@ -103,7 +103,7 @@
 struct ServiceProfile {
   std::string name;
   /// Connections that one backend server accepts from all entry hosts.
-  int most_connections = 0;
+  int max_connections = 0;
   /// Only of services whose backend servers form groups.
   std::optional<EngineProfile> engine;
   /// A server that started during traffic is cold for so long; 0: never.
@@ -164,7 +164,7 @@
  private:
   CatalogParts m_parts;
   /// Routes by host name and prefix, with a space between them.
-  std::unordered_map<std::string, size_t> m_route_by_place;
+  std::unordered_map<std::string, size_t> m_route_by_prefix;
 };
 
 /// The service that takes a request: `draw` in [0, 1) chooses by weight.
--- a/include/filbertrack/site_evacuations.h
+++ b/include/filbertrack/site_evacuations.h
@@ -12,12 +12,12 @@
 namespace filbertrack {
 
 /// What one entry host tells another.
-struct EvacuationNews {
+struct EvacuationUpdate {
   /// Revision of the store at which it was so; 0: nothing to tell.
   uint64_t revision = 0;
   std::set<std::string, std::less<>> data_centres;
 
-  bool operator==(const EvacuationNews&) const = default;
+  bool operator==(const EvacuationUpdate&) const = default;
 };
 
 class SiteEvacuations {
@@ -28,7 +28,7 @@
   bool OnList(DataCentres data_centres, uint64_t revision);
 
   /// What another host told. True if it differs from what held.
-  bool OnNews(const EvacuationNews& news);
+  bool OnPeerUpdate(const EvacuationUpdate& update);
 
   bool Contains(std::string_view data_centre) const {
     return m_data_centres.contains(data_centre);
@@ -36,19 +36,21 @@
   const DataCentres& data_centres() const { return m_data_centres; }
 
   /// For other hosts: empty until something was evacuated.
-  EvacuationNews News() const { return {m_told, NewsDataCentres()}; }
+  EvacuationUpdate News() const {
+    return {m_published_revision, UpdatedDataCentres()};
+  }
 
  private:
-  bool Take(DataCentres data_centres, uint64_t revision);
-  DataCentres NewsDataCentres() const {
-    return m_told == 0 ? DataCentres{} : m_data_centres;
+  bool Apply(DataCentres data_centres, uint64_t revision);
+  DataCentres UpdatedDataCentres() const {
+    return m_published_revision == 0 ? DataCentres{} : m_data_centres;
   }
 
   DataCentres m_data_centres;
   /// The latest revision at which they are known to have been so.
-  uint64_t m_known = 0;
+  uint64_t m_known_revision = 0;
   /// The revision that other hosts are told; 0: none.
-  uint64_t m_told = 0;
+  uint64_t m_published_revision = 0;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/store_absence.h
+++ b/include/filbertrack/store_absence.h
@@ -13,34 +13,35 @@
 
 namespace filbertrack {
 
-struct StoreAbsencePolicy {
+struct StoreOutagePolicy {
   /// What the store told a peer just before an outage arrives within this time:
   /// some rounds of questions between peers.
-  Duration under_way = Milliseconds(1000);
+  Duration propagation_time = Milliseconds(1000);
 };
 
-class StoreAbsence {
+class StoreOutageDetector {
  public:
-  explicit StoreAbsence(StoreAbsencePolicy policy = {}) : m_policy(policy) {}
+  explicit StoreOutageDetector(StoreOutagePolicy policy = {})
+      : m_policy(policy) {}
 
   /// This host reaches the store no longer.
   void OnLost(TimePoint now);
 
   /// Peers told of changes in the store that were not known here.
-  void OnPeersKnewMore(TimePoint now);
+  void OnPeersAhead(TimePoint now);
 
   /// This host reaches the store again. Whether it was away for all, as far as
   /// peers have shown. The first host that returns after an outage has heard of
   /// nothing newer than what was under way when it began.
   bool OnReturned(TimePoint now);
 
-  bool is_away() const { return m_lost.has_value(); }
+  bool is_unreachable() const { return m_lost.has_value(); }
 
  private:
-  StoreAbsencePolicy m_policy;
+  StoreOutagePolicy m_policy;
   std::optional<TimePoint> m_lost;
   /// Latest change that a peer told of since.
-  std::optional<TimePoint> m_peers_knew_more;
+  std::optional<TimePoint> m_peers_ahead_at;
 };
 
 }  // namespace filbertrack
--- a/soak/main_soak.cc
+++ b/soak/main_soak.cc
@@ -30,7 +30,7 @@
 /// Between signals of servers.
 constexpr Duration kSignalInterval = Milliseconds(700);
 /// Servers that it may end later, over the whole fleet.
-constexpr int kMostLateCrashes = 3;
+constexpr int kMaxLateCrashes = 3;
 
 struct Line {
   std::string program;
@@ -112,7 +112,7 @@
   const TimePoint since = MonotonicNow();
   RunFor(loop, time, [] { return false; });
   const int late = fleet.crashes() - before;
-  if (late > kMostLateCrashes) {
+  if (late > kMaxLateCrashes) {
     fleet.violations().push_back(
         std::to_string(late) + " servers ended late under one request, after " +
         std::to_string(before) + " before");
--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Duration kLongestLinkFault = Seconds(3);
+constexpr Duration kMaxLinkFault = Seconds(3);
 constexpr Duration kLongestPause = Seconds(3);
-constexpr int kMostDelayMs = 250;
+constexpr int kMaxDelayMs = 250;
 /// Runners that stay, so that a group can be formed.
-constexpr size_t kLeastRunners = 4;
+constexpr size_t kMinRunners = 4;
 
 }  // namespace
 
@@ -123,11 +123,11 @@
   switch (m_random() % 4) {
     case 0:
       faults.refuse_with = 503;
-      Later(kLongestLinkFault, [&faults] { faults.refuse_with = 0; });
+      Later(kMaxLinkFault, [&faults] { faults.refuse_with = 0; });
       return;
     case 1:
       faults.silent = true;
-      Later(kLongestLinkFault, [&faults] { faults.silent = false; });
+      Later(kMaxLinkFault, [&faults] { faults.silent = false; });
       return;
     case 2:
       faults.lost_writes += 2;
@@ -143,7 +143,7 @@
   switch (m_random() % 4) {
     case 0:
       faults.delay =
-          Milliseconds(static_cast<int64_t>(m_random() % kMostDelayMs));
+          Milliseconds(static_cast<int64_t>(m_random() % kMaxDelayMs));
       break;
     case 1:
       faults.drops_to_server = true;
@@ -155,7 +155,7 @@
       faults.refuses = true;
       proxy.ResetAll();
   }
-  Later(kLongestLinkFault, [&proxy] {
+  Later(kMaxLinkFault, [&proxy] {
     proxy.faults() = {};
     // Bytes were lost on these; they cannot go on.
     proxy.ResetAll();
@@ -173,7 +173,7 @@
   switch (m_random() % 4) {
     case 0:
       proxy.faults().delay =
-          Milliseconds(static_cast<int64_t>(m_random() % kMostDelayMs));
+          Milliseconds(static_cast<int64_t>(m_random() % kMaxDelayMs));
       break;
     case 1:
       proxy.faults().drops_to_server = true;
@@ -184,7 +184,7 @@
     default:
       proxy.ResetAll();
   }
-  Later(kLongestLinkFault, [host, &proxy] {
+  Later(kMaxLinkFault, [host, &proxy] {
     host->disturbed.push_back(MonotonicNow());
     proxy.faults() = {};
     proxy.ResetAll();
@@ -196,7 +196,7 @@
   const auto living =
       std::count_if(m_fleet.runners().begin(), m_fleet.runners().end(),
                     [](const auto& each) { return !each->standin->is_dead(); });
-  if (host == nullptr || static_cast<size_t>(living) <= kLeastRunners) {
+  if (host == nullptr || static_cast<size_t>(living) <= kMinRunners) {
     return;
   }
   m_callers.NoteUnplanned(MonotonicNow());
@@ -237,7 +237,7 @@
     return;
   }
   host->standin->SetLosesAnswers(true);
-  Later(kLongestLinkFault, [host] { host->standin->SetLosesAnswers(false); });
+  Later(kMaxLinkFault, [host] { host->standin->SetLosesAnswers(false); });
 }
 
 void Faults::ChangeConfig() {
--- a/soak/soak_signals.cc
+++ b/soak/soak_signals.cc
@@ -21,25 +21,25 @@
 /// Requests of one entry host to a server that asked it for rest, from half a
 /// second after that to the end.
 constexpr Duration kRestGrace = Milliseconds(500);
-constexpr size_t kMostWhileResting = 2;
+constexpr size_t kMaxWhileResting = 2;
 /// A call that began this long after an entry host had passed on that a server
 /// leaves does not reach that server from it.
 constexpr Duration kLeavingGrace = Seconds(2);
 
 /// A fault that began before has ended.
-constexpr Duration kLongestFault = Seconds(4);
+constexpr Duration kMaxFault = Seconds(4);
 
 // What servers say.
 
-constexpr Duration kLeastLimit = Seconds(7);
+constexpr Duration kMinLimit = Seconds(7);
 constexpr Duration kMoreLimit = Seconds(6);
-constexpr Duration kLeastRefusing = Milliseconds(500);
+constexpr Duration kMinRefusing = Milliseconds(500);
 constexpr Duration kMoreRefusing = Seconds(2);
-constexpr Duration kLeastRest = Seconds(1);
+constexpr Duration kMinRest = Seconds(1);
 constexpr Duration kMoreRest = Seconds(3);
 constexpr Duration kLeaves = Seconds(5);
 /// Servers that say nothing, so that callers are served.
-constexpr size_t kLeastQuiet = 2;
+constexpr size_t kMinQuiet = 2;
 
 bool AnyWithin(const std::vector<TimePoint>& times,
                TimePoint begin,
@@ -103,8 +103,7 @@
       quiet.push_back(host.get());
     }
   }
-  return quiet.size() <= kLeastQuiet ? nullptr
-                                     : quiet[m_random() % quiet.size()];
+  return quiet.size() <= kMinQuiet ? nullptr : quiet[m_random() % quiet.size()];
 }
 
 void Signals::Begin() {
@@ -135,7 +134,7 @@
 
 void Signals::BeginLimit(RunnerHost& host) {
   const double limit = 0.2 + static_cast<double>(m_random() % 40) / 10;
-  const Duration lasts = Draw(m_random, kLeastLimit, kMoreLimit);
+  const Duration lasts = Draw(m_random, kMinLimit, kMoreLimit);
   const TimePoint now = MonotonicNow();
   m_active.insert(&host);
   m_spans.push_back({Kind::kLimit, &host, now, now + lasts, limit, {}});
@@ -147,8 +146,8 @@
 }
 
 void Signals::BeginRest(RunnerHost& host) {
-  const Duration lasts = Draw(m_random, kLeastRefusing, kMoreRefusing);
-  const Duration rest = Draw(m_random, kLeastRest, kMoreRest);
+  const Duration lasts = Draw(m_random, kMinRefusing, kMoreRefusing);
+  const Duration rest = Draw(m_random, kMinRest, kMoreRest);
   const TimePoint now = MonotonicNow();
   m_active.insert(&host);
   m_spans.push_back({Kind::kRest, &host, now, now + lasts, 0, rest});
@@ -255,8 +254,8 @@
     }
     // The refusal may not have reached the entry host, or not been kept.
     const TimePoint end = told.at + span.rest;
-    if (AnyWithin(span.host->disturbed, told.at - kLongestFault, end) ||
-        AnyWithin(told.entry->disturbed, told.at - kLongestFault, end)) {
+    if (AnyWithin(span.host->disturbed, told.at - kMaxFault, end) ||
+        AnyWithin(told.entry->disturbed, told.at - kMaxFault, end)) {
       continue;
     }
     ++m_checked;
@@ -265,7 +264,7 @@
           return other.entry == told.entry && other.at > told.at + kRestGrace &&
                  other.at < end;
         });
-    if (static_cast<size_t>(late) > kMostWhileResting) {
+    if (static_cast<size_t>(late) > kMaxWhileResting) {
       violations.push_back(span.host->standin->id() + " asked " +
                            told.entry->name + " for rest and got " +
                            std::to_string(late) + " requests in it");
--- a/source/admission_division.cc
+++ b/source/admission_division.cc
@@ -29,7 +29,7 @@
   }
 }
 
-void DivisionKeeper::OnDivision(const Division& division, TimePoint now) {
+void DivisionTracker::OnDivision(const Division& division, TimePoint now) {
   if (division.epoch <= m_division.epoch) {
     return;
   }
@@ -40,35 +40,37 @@
   }
 }
 
-void DivisionKeeper::OnConfirmed(TimePoint at) {
+void DivisionTracker::OnConfirmed(TimePoint at) {
   m_confirmed_at = std::max(m_confirmed_at.value_or(at), at);
 }
 
-void DivisionKeeper::OnMostLeft(const DivisionPolicy& policy, TimePoint now) {
+void DivisionTracker::OnMajorityLeft(const DivisionPolicy& policy,
+                                     TimePoint now) {
   // At least half of the hosts renew a part, and more than half must have left
   // the division before one grows: two halves of the fleet that are cut from
   // each other can both go on with the old parts, and neither can start with
   // new ones. From now on nobody can renew an old part; the last renewals run
   // out after confirm_within, and what was lent under them after loan_time.
   if (!m_grows_at) {
-    m_grows_at = now + policy.confirm_within + policy.loan_time;
+    m_grows_at = now + policy.confirmation_ttl + policy.loan_ttl;
   }
 }
 
-double DivisionKeeper::Share(const DivisionPolicy& policy,
-                             TimePoint now) const {
-  if (!m_confirmed_at || now - *m_confirmed_at > policy.confirm_within) {
+double DivisionTracker::Share(const DivisionPolicy& policy,
+                              TimePoint now) const {
+  if (!m_confirmed_at || now - *m_confirmed_at > policy.confirmation_ttl) {
     return 0;
   }
   if (m_grows_at && now >= *m_grows_at) {
-    return PartIn(m_division.nodes);
+    return ShareIn(m_division.nodes);
   }
   // The division before was settled when this one was written, so its part is
   // this host's to use, even if this host never heard of that division.
-  return std::min(PartIn(m_division.previous_nodes), PartIn(m_division.nodes));
+  return std::min(ShareIn(m_division.previous_nodes),
+                  ShareIn(m_division.nodes));
 }
 
-double DivisionKeeper::PartIn(const std::vector<std::string>& nodes) const {
+double DivisionTracker::ShareIn(const std::vector<std::string>& nodes) const {
   const bool listed =
       std::find(nodes.begin(), nodes.end(), m_self) != nodes.end();
   return listed ? 1.0 / static_cast<double>(nodes.size()) : 0;
--- a/source/admission_limits.cc
+++ b/source/admission_limits.cc
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr double kBurstSeconds = 1;
-constexpr Duration kRetryWithoutPart = Seconds(1);
+constexpr Duration kRetryWithoutShare = Seconds(1);
 
 }  // namespace
 
@@ -38,7 +38,7 @@
                                             TimePoint now) {
   const auto found = m_limits.find(key);
   if (found == m_limits.end() || found->second.bucket.per_second() <= 0) {
-    return OverEntitlement{kRetryWithoutPart};
+    return OverEntitlement{kRetryWithoutShare};
   }
   TokenBucket& bucket = found->second.bucket;
   if (!bucket.TryTake(now)) {
--- a/source/admission_parts.cc
+++ b/source/admission_parts.cc
@@ -26,29 +26,29 @@
   return part.demand * std::exp(-age / ToSeconds(policy.demand_window));
 }
 
-std::vector<EntitlementParts::Wish> EntitlementParts::Wishes(
+std::vector<EntitlementParts::LoanRequest> EntitlementParts::LoanRequests(
     std::string_view lender,
     const LoanPolicy& policy,
     TimePoint now) {
-  std::vector<Wish> wishes;
+  std::vector<LoanRequest> requests;
   for (const auto& [key, part] : m_parts) {
-    const double without = std::max(
+    const double available = std::max(
         0.0, part.base + Borrowed(part, lender, now) - Lent(part, "", now));
-    const double wish = DemandNow(part, policy, now) - without;
-    if (wish >= policy.least_wish) {
-      wishes.push_back({key, wish});
+    const double request = DemandNow(part, policy, now) - available;
+    if (request >= policy.min_loan_rate) {
+      requests.push_back({key, request});
     }
   }
-  return wishes;
+  return requests;
 }
 
 double EntitlementParts::Grant(std::string_view borrower,
                                const EntitlementKey& key,
-                               double wished,
+                               double requested,
                                const LoanPolicy& policy,
                                TimePoint now) {
   const auto found = m_parts.find(key);
-  if (found == m_parts.end() || !(wished > 0)) {
+  if (found == m_parts.end() || !(requested > 0)) {
     return 0;
   }
   Part& part = found->second;
@@ -57,13 +57,13 @@
   const double own = part.base - Lent(part, borrower, now);
   const double unused = own - DemandNow(part, policy, now);
   const double granted =
-      std::min(wished, std::max(0.0, unused) * (1 - policy.kept_share));
+      std::min(requested, std::max(0.0, unused) * (1 - policy.kept_share));
   if (granted <= 0) {
     return 0;
   }
   std::vector<Loan>& lent = part.lent[std::string(borrower)];
   std::erase_if(lent, [now](const Loan& loan) { return loan.ends <= now; });
-  lent.push_back({granted, now + policy.loan_time});
+  lent.push_back({granted, now + policy.loan_ttl});
   return granted;
 }
 
@@ -73,7 +73,7 @@
                                  const LoanPolicy& policy,
                                  TimePoint asked_at) {
   Loan& loan = m_parts[key].borrowed[std::string(lender)];
-  const TimePoint ends = asked_at + policy.loan_time;
+  const TimePoint ends = asked_at + policy.loan_ttl;
   // An answer that was overtaken by a later one is not news.
   if (ends > loan.ends) {
     loan = {requests_per_second, ends};
@@ -92,11 +92,11 @@
 }
 
 double EntitlementParts::Lent(const Part& part,
-                              std::string_view except,
+                              std::string_view except_host,
                               TimePoint now) {
   double sum = 0;
   for (const auto& [borrower, loans] : part.lent) {
-    if (borrower == except) {
+    if (borrower == except_host) {
       continue;
     }
     double largest = 0;
@@ -109,11 +109,11 @@
 }
 
 double EntitlementParts::Borrowed(const Part& part,
-                                  std::string_view except,
+                                  std::string_view except_host,
                                   TimePoint now) {
   double sum = 0;
   for (const auto& [lender, loan] : part.borrowed) {
-    sum += lender != except && loan.ends > now ? loan.rate : 0;
+    sum += lender != except_host && loan.ends > now ? loan.rate : 0;
   }
   return sum;
 }
--- a/source/admission_queue.cc
+++ b/source/admission_queue.cc
@@ -6,74 +6,76 @@
 
 namespace {
 
-constexpr double kLeastWeight = 1e-3;
+constexpr double kMinWeight = 1e-3;
 /// A quiet time says nothing about how fast the queue moves when it is full.
-constexpr Duration kLongestInterval = Seconds(1);
+constexpr Duration kMaxInterval = Seconds(1);
 
 }  // namespace
 
 bool FairQueue::Push(QueuedRequest request, TimePoint now) {
-  if (m_size >= m_most_waiting || now + EstimatedWait() > request.deadline) {
+  if (m_size >= m_max_waiting || now + EstimatedWait() > request.deadline) {
     return false;
   }
-  Lane& lane = m_priorities[request.priority][request.workspace];
-  const double start = std::max(lane.finish, m_virtual_time);
-  lane.finish = start + 1 / std::max(kLeastWeight, request.weight);
-  lane.starts.push_back(start);
-  lane.waiting.push_back(std::move(request));
+  Flow& flow = m_priorities[request.priority][request.workspace];
+  const double start_tag = std::max(flow.last_finish_tag, m_virtual_time);
+  flow.last_finish_tag = start_tag + 1 / std::max(kMinWeight, request.weight);
+  flow.start_tags.push_back(start_tag);
+  flow.waiting.push_back(std::move(request));
   ++m_size;
   return true;
 }
 
 const QueuedRequest* FairQueue::Peek() {
-  const Lane* lane = NextLane();
-  return lane == nullptr ? nullptr : &lane->waiting.front();
+  const Flow* flow = NextFlow();
+  return flow == nullptr ? nullptr : &flow->waiting.front();
 }
 
 std::optional<QueuedRequest> FairQueue::Pop(TimePoint now) {
-  Lane* lane = NextLane();
-  if (lane == nullptr) {
+  Flow* flow = NextFlow();
+  if (flow == nullptr) {
     return std::nullopt;
   }
-  m_virtual_time = std::max(m_virtual_time, lane->starts.front());
-  QueuedRequest request = std::move(lane->waiting.front());
-  lane->waiting.pop_front();
-  lane->starts.pop_front();
+  m_virtual_time = std::max(m_virtual_time, flow->start_tags.front());
+  QueuedRequest request = std::move(flow->waiting.front());
+  flow->waiting.pop_front();
+  flow->start_tags.pop_front();
   --m_size;
   if (m_last_pop) {
-    const Duration interval = std::min(now - *m_last_pop, kLongestInterval);
-    m_interval = (m_interval * 7 + interval) / 8;
+    const Duration interval = std::min(now - *m_last_pop, kMaxInterval);
+    m_pop_interval = (m_pop_interval * 7 + interval) / 8;
   }
   m_last_pop = now;
   return request;
 }
 
-std::vector<QueuedRequest> FairQueue::TakeHopeless(Duration first_token,
-                                                   TimePoint now) {
-  std::vector<QueuedRequest> hopeless;
-  for (auto& [priority, lanes] : m_priorities) {
-    for (auto& [workspace, lane] : lanes) {
-      for (size_t i = lane.waiting.size(); i-- > 0;) {
-        if (now + first_token <= lane.waiting[i].deadline) {
+std::vector<QueuedRequest> FairQueue::TakeUnservable(Duration first_token,
+                                                     TimePoint now) {
+  std::vector<QueuedRequest> unservable;
+  for (auto& [priority, flows] : m_priorities) {
+    for (auto& [workspace, flow] : flows) {
+      for (size_t i = flow.waiting.size(); i-- > 0;) {
+        if (now + first_token <= flow.waiting[i].deadline) {
           continue;
         }
-        hopeless.push_back(std::move(lane.waiting[i]));
-        lane.waiting.erase(lane.waiting.begin() + static_cast<ptrdiff_t>(i));
-        lane.starts.erase(lane.starts.begin() + static_cast<ptrdiff_t>(i));
+        unservable.push_back(std::move(flow.waiting[i]));
+        flow.waiting.erase(flow.waiting.begin() + static_cast<ptrdiff_t>(i));
+        flow.start_tags.erase(flow.start_tags.begin() +
+                              static_cast<ptrdiff_t>(i));
         --m_size;
       }
     }
   }
-  return hopeless;
+  return unservable;
 }
 
 bool FairQueue::Remove(uint64_t id) {
-  for (auto& [priority, lanes] : m_priorities) {
-    for (auto& [workspace, lane] : lanes) {
-      for (size_t i = 0; i < lane.waiting.size(); ++i) {
-        if (lane.waiting[i].id == id) {
-          lane.waiting.erase(lane.waiting.begin() + static_cast<ptrdiff_t>(i));
-          lane.starts.erase(lane.starts.begin() + static_cast<ptrdiff_t>(i));
+  for (auto& [priority, flows] : m_priorities) {
+    for (auto& [workspace, flow] : flows) {
+      for (size_t i = 0; i < flow.waiting.size(); ++i) {
+        if (flow.waiting[i].id == id) {
+          flow.waiting.erase(flow.waiting.begin() + static_cast<ptrdiff_t>(i));
+          flow.start_tags.erase(flow.start_tags.begin() +
+                                static_cast<ptrdiff_t>(i));
           --m_size;
           return true;
         }
@@ -84,24 +86,25 @@
 }
 
 Duration FairQueue::EstimatedWait() const {
-  return m_interval * static_cast<int64_t>(m_size);
+  return m_pop_interval * static_cast<int64_t>(m_size);
 }
 
-FairQueue::Lane* FairQueue::NextLane() {
-  for (auto& [priority, lanes] : m_priorities) {
-    Lane* next = nullptr;
-    for (auto lane = lanes.begin(); lane != lanes.end();) {
-      if (lane->second.waiting.empty()) {
+FairQueue::Flow* FairQueue::NextFlow() {
+  for (auto& [priority, flows] : m_priorities) {
+    Flow* next = nullptr;
+    for (auto flow = flows.begin(); flow != flows.end();) {
+      if (flow->second.waiting.empty()) {
         // An idle workspace keeps no credit and no debt past the present.
-        lane = lane->second.finish <= m_virtual_time ? lanes.erase(lane)
-                                                     : std::next(lane);
+        flow = flow->second.last_finish_tag <= m_virtual_time
+                   ? flows.erase(flow)
+                   : std::next(flow);
         continue;
       }
       if (next == nullptr ||
-          lane->second.starts.front() < next->starts.front()) {
-        next = &lane->second;
+          flow->second.start_tags.front() < next->start_tags.front()) {
+        next = &flow->second;
       }
-      ++lane;
+      ++flow;
     }
     if (next != nullptr) {
       return next;
--- a/source/backpressure_cold.cc
+++ b/source/backpressure_cold.cc
@@ -6,31 +6,31 @@
 
 namespace filbertrack {
 
-void ColdServers::Share(const ServerLife& server,
-                        Cold& cold,
-                        std::span<const std::string> hosts,
-                        TimePoint now) const {
-  SetPace(cold.pace,
-          ShareOfColdServer(cold.per_second, server.id, m_own, hosts), now);
+void ColdServers::AssignShare(const ServerInstance& server,
+                              ColdServer& cold,
+                              std::span<const std::string> hosts,
+                              TimePoint now) const {
+  SetBucket(cold.bucket,
+            ShareOfColdServer(cold.per_second, server.id, m_own, hosts), now);
 }
 
 bool ColdServers::OnCold(const ColdState& state,
                          std::span<const std::string> hosts,
                          TimePoint now) {
   const auto [row, is_new] = m_servers.try_emplace(state.server);
-  Cold& cold = row->second;
+  ColdServer& cold = row->second;
   const bool changes = is_new || cold.per_second != state.per_second;
   cold.per_second = state.per_second;
   cold.until = state.until;
   if (changes) {
-    Share(state.server, cold, hosts, now);
+    AssignShare(state.server, cold, hosts, now);
   }
   return is_new;
 }
 
 void ColdServers::SetHosts(std::span<const std::string> hosts, TimePoint now) {
   for (auto& [server, cold] : m_servers) {
-    Share(server, cold, hosts, now);
+    AssignShare(server, cold, hosts, now);
   }
 }
 
@@ -39,21 +39,22 @@
                 [now](const auto& row) { return row.second.until <= now; });
 }
 
-Duration ColdServers::UntilSend(const ServerLife& server, TimePoint now) const {
+Duration ColdServers::UntilSend(const ServerInstance& server,
+                                TimePoint now) const {
   const auto found = m_servers.find(server);
   if (found == m_servers.end() || found->second.until <= now) {
     return Duration(0);
   }
-  const Cold& cold = found->second;
+  const ColdServer& cold = found->second;
   // It is warm before a host without a part, or with a small one, may send.
   const Duration left = cold.until - now;
-  return cold.pace ? std::min(left, cold.pace->UntilNext(now)) : left;
+  return cold.bucket ? std::min(left, cold.bucket->UntilNext(now)) : left;
 }
 
-void ColdServers::OnSent(const ServerLife& server, TimePoint now) {
+void ColdServers::OnSent(const ServerInstance& server, TimePoint now) {
   const auto found = m_servers.find(server);
-  if (found != m_servers.end() && found->second.pace) {
-    found->second.pace->TryTake(now);
+  if (found != m_servers.end() && found->second.bucket) {
+    found->second.bucket->TryTake(now);
   }
 }
 
--- a/source/backpressure_limits.cc
+++ b/source/backpressure_limits.cc
@@ -7,70 +7,71 @@
 namespace {
 
 /// Times that a limit which lasts is told again within its life.
-constexpr int kConfirmations = 4;
+constexpr int kAdvertisementsPerTtl = 4;
 
 }  // namespace
 
-void LimitLedger::Put(const ServerLife& server,
+void LimitLedger::Put(const ServerInstance& server,
                       std::optional<double> limit,
                       TimePoint at) {
-  m_words[server] = {limit, at, at, ++m_revision};
+  m_stored[server] = {limit, at, at, ++m_revision};
 }
 
-void LimitLedger::Confirm(Word& word, TimePoint at) {
-  word.at = std::max(word.at, at);
+void LimitLedger::Refresh(StoredLimit& record, TimePoint at) {
+  record.at = std::max(record.at, at);
   // Not each time: a word is told again so rarely that its way through all
   // entry hosts takes less.
-  if (at > word.told_at + m_policy.limit_life / kConfirmations) {
-    word.told_at = at;
-    word.revision = ++m_revision;
+  if (at > record.advertised_at + m_policy.limit_ttl / kAdvertisementsPerTtl) {
+    record.advertised_at = at;
+    record.revision = ++m_revision;
   }
 }
 
-bool LimitLedger::OnAnswer(const LimitReading& reading, TimePoint now) {
-  const auto found = m_words.find(reading.server);
-  const bool is_limited = found != m_words.end() && found->second.limit;
-  if (!reading.limit) {
-    if (!is_limited || reading.sent <= found->second.at) {
+bool LimitLedger::OnAnswer(const LimitObservation& observation, TimePoint now) {
+  const auto found = m_stored.find(observation.server);
+  const bool is_limited = found != m_stored.end() && found->second.limit;
+  if (!observation.limit) {
+    if (!is_limited || observation.sent <= found->second.at) {
       return false;
     }
-    Put(reading.server, std::nullopt, now);
+    Put(observation.server, std::nullopt, now);
     return true;
   }
-  if (is_limited && found->second.limit == reading.limit) {
-    Confirm(found->second, now);
+  if (is_limited && found->second.limit == observation.limit) {
+    Refresh(found->second, now);
     return false;
   }
-  Put(reading.server, reading.limit, now);
+  Put(observation.server, observation.limit, now);
   return true;
 }
 
-bool LimitLedger::OnNews(const LimitWord& word, TimePoint now) {
-  const TimePoint at = now - word.age;
-  const auto found = m_words.find(word.server);
-  if (found != m_words.end() && found->second.limit == word.limit) {
-    if (at > found->second.told_at + m_policy.limit_life / kConfirmations) {
-      Confirm(found->second, at);
+bool LimitLedger::OnPeerUpdate(const LimitRecord& record, TimePoint now) {
+  const TimePoint at = now - record.age;
+  const auto found = m_stored.find(record.server);
+  if (found != m_stored.end() && found->second.limit == record.limit) {
+    if (at > found->second.advertised_at +
+                 m_policy.limit_ttl / kAdvertisementsPerTtl) {
+      Refresh(found->second, at);
     }
     return false;
   }
-  if (found != m_words.end() && at <= found->second.at) {
+  if (found != m_stored.end() && at <= found->second.at) {
     return false;
   }
-  const bool changes = found != m_words.end() || word.limit.has_value();
-  Put(word.server, word.limit, at);
+  const bool changes = found != m_stored.end() || record.limit.has_value();
+  Put(record.server, record.limit, at);
   return changes;
 }
 
-std::optional<double> LimitLedger::LimitOf(const ServerLife& server) const {
-  const auto found = m_words.find(server);
-  return found == m_words.end() ? std::nullopt : found->second.limit;
+std::optional<double> LimitLedger::LimitOf(const ServerInstance& server) const {
+  const auto found = m_stored.find(server);
+  return found == m_stored.end() ? std::nullopt : found->second.limit;
 }
 
-std::vector<ServerLife> LimitLedger::Limited() const {
-  std::vector<ServerLife> limited;
-  for (const auto& [server, word] : m_words) {
-    if (word.limit) {
+std::vector<ServerInstance> LimitLedger::LimitedServers() const {
+  std::vector<ServerInstance> limited;
+  for (const auto& [server, record] : m_stored) {
+    if (record.limit) {
       limited.push_back(server);
     }
   }
@@ -78,44 +79,45 @@
 }
 
 bool LimitLedger::ForgetOld(TimePoint now) {
-  const size_t before = m_words.size();
-  std::erase_if(m_words, [this, now](const auto& row) {
-    const Word& word = row.second;
-    return now - word.at >
-           (word.limit ? m_policy.limit_life : m_policy.end_life);
+  const size_t before = m_stored.size();
+  std::erase_if(m_stored, [this, now](const auto& row) {
+    const StoredLimit& record = row.second;
+    return now - record.at >
+           (record.limit ? m_policy.limit_ttl : m_policy.tombstone_ttl);
   });
-  while (m_words.size() > m_policy.most_words) {
-    m_words.erase(std::min_element(m_words.begin(), m_words.end(),
-                                   [](const auto& left, const auto& right) {
-                                     return left.second.at < right.second.at;
-                                   }));
+  while (m_stored.size() > m_policy.max_records) {
+    m_stored.erase(std::min_element(m_stored.begin(), m_stored.end(),
+                                    [](const auto& left, const auto& right) {
+                                      return left.second.at < right.second.at;
+                                    }));
   }
-  return m_words.size() != before;
+  return m_stored.size() != before;
 }
 
-LimitNews LimitLedger::Since(uint64_t known, TimePoint now) const {
-  LimitNews news{m_revision, {}};
+LimitUpdate LimitLedger::Since(uint64_t known, TimePoint now) const {
+  LimitUpdate update{m_revision, {}};
   if (known == m_revision) {
-    return news;
+    return update;
   }
   const uint64_t after = known > m_revision ? 0 : known;
-  std::vector<std::pair<uint64_t, LimitWord>> rows;
-  for (const auto& [server, word] : m_words) {
-    if (word.revision > after) {
-      rows.push_back({word.revision, {server, word.limit, now - word.at}});
+  std::vector<std::pair<uint64_t, LimitRecord>> rows;
+  for (const auto& [server, record] : m_stored) {
+    if (record.revision > after) {
+      rows.push_back(
+          {record.revision, {server, record.limit, now - record.at}});
     }
   }
   std::sort(rows.begin(), rows.end(), [](const auto& left, const auto& right) {
     return left.first < right.first;
   });
-  if (rows.size() > m_policy.most_told) {
-    rows.resize(m_policy.most_told);
-    news.revision = rows.back().first;
+  if (rows.size() > m_policy.max_records_per_message) {
+    rows.resize(m_policy.max_records_per_message);
+    update.revision = rows.back().first;
   }
-  for (auto& [revision, word] : rows) {
-    news.words.push_back(std::move(word));
+  for (auto& [revision, record] : rows) {
+    update.words.push_back(std::move(record));
   }
-  return news;
+  return update;
 }
 
 }  // namespace filbertrack
--- a/source/base_compress.cc
+++ b/source/base_compress.cc
@@ -23,7 +23,7 @@
 }
 
 std::optional<std::string> Decompress(std::string_view bytes,
-                                      size_t most_bytes) {
+                                      size_t max_bytes) {
   z_stream stream{};
   if (inflateInit(&stream) != Z_OK) {
     return std::nullopt;
@@ -33,14 +33,14 @@
   std::string text;
   std::array<char, 64 * 1024> piece;
   int state = Z_OK;
-  while (state == Z_OK && text.size() <= most_bytes) {
+  while (state == Z_OK && text.size() <= max_bytes) {
     stream.next_out = reinterpret_cast<Bytef*>(piece.data());
     stream.avail_out = piece.size();
     state = inflate(&stream, Z_NO_FLUSH);
     text.append(piece.data(), piece.size() - stream.avail_out);
   }
   inflateEnd(&stream);
-  if (state != Z_STREAM_END || text.size() > most_bytes) {
+  if (state != Z_STREAM_END || text.size() > max_bytes) {
     return std::nullopt;
   }
   return text;
--- a/source/base_token_bucket.cc
+++ b/source/base_token_bucket.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration kLongestWait = Seconds(60);
+constexpr Duration kMaxWait = Seconds(60);
 
 }  // namespace
 
@@ -46,10 +46,10 @@
     return Duration(0);
   }
   if (m_per_second <= 0) {
-    return kLongestWait;
+    return kMaxWait;
   }
   const auto wait = FromSeconds(missing / m_per_second);
-  return std::min(wait, kLongestWait);
+  return std::min(wait, kMaxWait);
 }
 
 double TokenBucket::TokensAt(TimePoint now) const {
--- a/source/change_log.cc
+++ b/source/change_log.cc
@@ -30,28 +30,28 @@
   m_by_version.emplace(object.version, object.id);
   if (object.text.empty()) {
     m_removed.emplace(object.version, object.id);
-    ForgetOldest();
+    CompactRemovals();
   }
   return true;
 }
 
-void ChangeLog::ForgetOldest() {
-  while (m_removed.size() > m_most_removed) {
+void ChangeLog::CompactRemovals() {
+  while (m_removed.size() > m_max_removed) {
     const auto oldest = m_removed.begin();
-    m_forgotten = std::max(m_forgotten, oldest->first);
+    m_compacted_revision = std::max(m_compacted_revision, oldest->first);
     EraseEntry(m_by_version, oldest->first, oldest->second);
     m_objects.erase(oldest->second);
     m_removed.erase(oldest);
   }
 }
 
-void ChangeLog::Reach(uint64_t revision) {
+void ChangeLog::AdvanceTo(uint64_t revision) {
   m_revision = std::max(m_revision, revision);
 }
 
 std::optional<std::vector<LoggedObject>> ChangeLog::Since(
     uint64_t revision) const {
-  if (revision < m_forgotten) {
+  if (revision < m_compacted_revision) {
     return std::nullopt;
   }
   std::vector<LoggedObject> changed;
--- a/source/config_resources.cc
+++ b/source/config_resources.cc
@@ -14,7 +14,7 @@
 using Json = nlohmann::json;
 
 constexpr size_t kSha256HexDigits = 64;
-constexpr double kMostRequestsPerSecond = 1e6;
+constexpr double kMaxRequestsPerSecond = 1e6;
 
 /// Reads the fields of one resource and remembers the first fault.
 class FieldReader {
@@ -194,7 +194,7 @@
     Entitlement entitlement;
     entitlement.service = fields.Text("service", "");
     entitlement.requests_per_second =
-        fields.Number("requests_per_second", 0, 0, kMostRequestsPerSecond);
+        fields.Number("requests_per_second", 0, 0, kMaxRequestsPerSecond);
     const std::string fault = fields.Finish();
     if (!fault.empty()) {
       reader.Fault("entitlements", row, fault);
--- a/source/controller.cc
+++ b/source/controller.cc
@@ -50,7 +50,7 @@
       m_http(loop, kIdleConnections) {
   m_lease_policy.duration = settings.Time("lease", "duration");
   m_lease_policy.renew_every = settings.Time("lease", "renew_every");
-  m_lease_policy.order_life = settings.Time("lease", "order_life");
+  m_lease_policy.order_ttl = settings.Time("lease", "order_life");
   m_plan_policy.repair = settings.Text("repair", "policy") == "rebuild"
                              ? RepairPolicy::kRebuildGroup
                              : RepairPolicy::kSwapMember;
@@ -122,7 +122,7 @@
   }
   domain.state = *state;
   domain.version = object.version;
-  domain.hold.lease = state->lease;
+  domain.ownership.lease = state->lease;
   std::map<std::string, Domain::PhaseSeen> seen;
   for (const Group& group : domain.state.groups) {
     const Domain::PhaseSeen present{group.epoch, group.phase};
@@ -193,14 +193,14 @@
   const Assignment wanted = AssignReplicas(m_config.resources(), summaries);
   const auto here = wanted.find(domain.hosts.domain);
   const std::map<std::string, int> none;
-  const std::vector<std::string> may_roll =
-      MayRoll(m_config.resources(), summaries, domain.hosts.domain);
+  const std::vector<std::string> rollout_candidates =
+      RolloutCandidates(m_config.resources(), summaries, domain.hosts.domain);
   const PlanInput input{domain.state,
                         domain.hosts,
                         domain.views,
                         m_config.resources(),
                         here == wanted.end() ? none : here->second,
-                        may_roll,
+                        rollout_candidates,
                         domain.phase_since};
   Plan plan = PlanDomain(input, m_plan_policy, now);
   SendOrders(domain, plan.orders);
@@ -272,7 +272,7 @@
   m_cache.Offer(object);
   ReadState(domain, object);
   if (object.value == own_text) {
-    domain.hold.verified_term = term;
+    domain.ownership.verified_term = term;
     WatchHosts();
     LogGroups(domain);
   }
@@ -323,7 +323,7 @@
   request.method = HttpMethod::kPost;
   request.target = "/v1/orders";
   request.body = std::move(body);
-  request.idle_timeout = m_lease_policy.order_life;
+  request.idle_timeout = m_lease_policy.order_ttl;
   request.fresh_connection = true;
   HttpCallEvents events;
   const auto forget = [this, name = domain.hosts.domain, host] {
--- a/source/controller_domain.h
+++ b/source/controller_domain.h
@@ -15,7 +15,7 @@
   DomainState state;
   uint64_t version = 0;
   TimePoint lease_seen;
-  DomainHold hold;
+  DomainOwnership ownership;
   HolderView holder;
   bool reading_holder = false;
   HostViews views;
--- a/source/controller_feed.cc
+++ b/source/controller_feed.cc
@@ -47,7 +47,7 @@
 
 void ControllerFeed::Ask() {
   // Without a name: an observer is no member, and nothing is lent to it.
-  ExchangeAsk ask;
+  ExchangeRequest ask;
   ask.cache_digest = m_cache.Digest();
   ask.wanted_objects = std::move(m_wanted);
   m_wanted.clear();
@@ -60,8 +60,8 @@
     return;
   }
   const Result<PeerMessage> message = DecodePeerMessage(*payload);
-  const ExchangeAnswer* answer =
-      message ? std::get_if<ExchangeAnswer>(&*message) : nullptr;
+  const ExchangeReply* answer =
+      message ? std::get_if<ExchangeReply>(&*message) : nullptr;
   if (answer == nullptr) {
     return;
   }
--- a/source/controller_lease.cc
+++ b/source/controller_lease.cc
@@ -21,13 +21,14 @@
 }  // namespace
 
 bool Controller::MayActOn(const Domain& domain) const {
-  return MayAct(domain.hold, m_node, m_keeper, m_lease_policy, MonotonicNow());
+  return MayAct(domain.ownership, m_node, m_keeper, m_lease_policy,
+                MonotonicNow());
 }
 
 bool Controller::HoldsAny() const {
   return std::any_of(m_domains.begin(), m_domains.end(),
                      [this](const auto& row) {
-                       return row.second->hold.lease.holder == m_node;
+                       return row.second->ownership.lease.holder == m_node;
                      });
 }
 
@@ -84,7 +85,7 @@
   // One reading when the holder is new, and one when its lease could have run
   // out since; more would only load the store.
   const TimePoint due = domain.holder.first_seen + m_lease_policy.duration +
-                        m_lease_policy.order_life + RankDelay(domain);
+                        m_lease_policy.order_ttl + RankDelay(domain);
   const bool is_new = domain.holder.holder != holder;
   const bool is_due = now >= due && domain.holder.last_read < due;
   if (held_by_other && !domain.reading_holder && (is_new || is_due)) {
@@ -95,9 +96,9 @@
   // other, because an order of its earlier process may still be on its way.
   const bool may_take =
       holder == m_node
-          ? now >= domain.lease_seen + m_lease_policy.order_life
-          : MayTake(domain.state.lease, domain.lease_seen, domain.holder,
-                    m_lease_policy, RankDelay(domain), now);
+          ? now >= domain.lease_seen + m_lease_policy.order_ttl
+          : MayAcquire(domain.state.lease, domain.lease_seen, domain.holder,
+                       m_lease_policy, RankDelay(domain), now);
   if (!may_take) {
     return;
   }
--- a/source/dispatch_connections.cc
+++ b/source/dispatch_connections.cc
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-size_t KeptConnections(int most_connections, size_t entry_hosts) {
-  const double idle = kIdleShare * std::max(0, most_connections);
+size_t KeptConnections(int max_connections, size_t entry_hosts) {
+  const double idle = kIdleShare * std::max(0, max_connections);
   const size_t hosts = std::max<size_t>(1, entry_hosts);
   return static_cast<size_t>(idle / static_cast<double>(hosts));
 }
--- a/source/dispatch_predict.cc
+++ b/source/dispatch_predict.cc
@@ -12,19 +12,19 @@
 
 /// A target is never predicted slower than this many times its profile, so
 /// that some requests still reach it and can show that it has recovered.
-constexpr double kMostSlowness = 10;
+constexpr double kMaxSlowness = 10;
 /// And never faster than this part of the engine's published step times, which
 /// name its pace.
-constexpr double kLeastSlowness = 0.5;
+constexpr double kMinSlowness = 0.5;
 /// Time of a request at a plain backend server where nothing was measured yet.
 /// No page publishes it; services differ by far more than engines do.
-constexpr Duration kPlainWork = Milliseconds(60);
-constexpr double kLeastPlainSlowness = 0.01;
+constexpr Duration kPlainRequestTime = Milliseconds(60);
+constexpr double kMinPlainSlowness = 0.01;
 /// From so many of its slots on a target may be full by what is not told yet.
-constexpr double kFullShare = 0.7;
+constexpr double kNearlyFullShare = 0.7;
 /// Most requests at a target, as a part of its slots, that a late first event
 /// is laid to; beyond it the target is slow.
-constexpr double kMostUnseen = 0.5;
+constexpr double kMaxUnseen = 0.5;
 constexpr double kPerThousand = 1e-3;
 constexpr double kPerMillion = 1e-6;
 
@@ -40,74 +40,77 @@
       ToSeconds(engine.step) + ToSeconds(engine.step_per_request) * requests +
       ToSeconds(engine.step_per_1k_context) * context * kPerThousand;
   const double steps = requests > 0 ? step * engine.stride : 0;
-  const double reading =
+  const double prompt_time =
       chunk_tokens / std::max(1.0, engine.prompt_tokens_per_second);
-  return FromSeconds(pace * (steps + reading));
+  return FromSeconds(pace * (steps + prompt_time));
 }
 
-Duration DispatchBoard::Overhead(const Entry& entry) {
-  const bool known = entry.engine != nullptr && entry.recent != nullptr;
-  return known ? entry.recent->overhead : Duration(0);
+Duration TargetSelector::Overhead(const Entry& entry) {
+  const bool known = entry.engine != nullptr && entry.activity != nullptr;
+  return known ? entry.activity->overhead : Duration(0);
 }
 
-double DispatchBoard::CountRequests(const Entry& entry) {
-  const double told = entry.own.requests + entry.remote.requests;
-  return told + (entry.recent == nullptr ? 0 : entry.recent->unseen);
+double TargetSelector::CountRequests(const Entry& entry) {
+  const double reported = entry.own.requests + entry.remote.requests;
+  return reported + (entry.activity == nullptr ? 0 : entry.activity->unseen);
 }
 
-Duration DispatchBoard::PlaceTime(const Entry& entry) const {
+Duration TargetSelector::SlotReleaseInterval(const Entry& entry) const {
   // While all slots are taken, each pass also reads the prompts of those that
   // took the place of others.
   const EngineProfile& engine = *entry.engine;
   const double slots = std::max(1, entry.target.slots);
   const double passes =
       std::max(1.0, engine.usual_answer_tokens / std::max(1, engine.stride));
-  const double read_a_pass = slots * engine.usual_prompt_tokens / passes;
-  return Scale(PassTime(engine, entry.pace, slots, read_a_pass),
+  const double prompt_tokens_per_pass =
+      slots * engine.usual_prompt_tokens / passes;
+  return Scale(PassTime(engine, entry.pace, slots, prompt_tokens_per_pass),
                passes / slots);
 }
 
-Duration DispatchBoard::PredictEntry(const Entry& entry,
-                                     double prompt_tokens) const {
+Duration TargetSelector::PredictEntry(const Entry& entry,
+                                      double prompt_tokens) const {
   const double requests = CountRequests(entry);
   const double slots = std::max(1, entry.target.slots);
   const double waiting = std::max(0.0, requests + 1 - slots);
   if (entry.engine == nullptr) {
-    return Scale(kPlainWork, (1 + waiting / slots) * entry.slowness);
+    return Scale(kPlainRequestTime, (1 + waiting / slots) * entry.slowness);
   }
   const EngineProfile& engine = *entry.engine;
-  const double writing = std::min(requests, slots);
+  const double generating = std::min(requests, slots);
   // Prompts are read a chunk a pass, in the order of arrival, between the steps
   // of those that write.
   const double backlog =
       entry.own.prompt_tokens + entry.remote.prompt_tokens + prompt_tokens;
   const double chunk = std::max(1, engine.chunk_tokens);
   const double passes = std::max(1.0, backlog / chunk);
-  const Duration bare = PassTime(engine, entry.pace, writing, backlog / passes);
+  const Duration pass_time =
+      PassTime(engine, entry.pace, generating, backlog / passes);
   const double pairs = prompt_tokens * prompt_tokens / 2;
-  const Duration pairing =
+  const Duration attention =
       Scale(engine.prompt_per_million_pairs, pairs * kPerMillion * entry.pace);
   // A request above the slots waits until so many of those that run have
   // written their answers.
-  const Duration queue = Scale(PlaceTime(entry), waiting);
+  const Duration queue = Scale(SlotReleaseInterval(entry), waiting);
   // The pass that runs has to end first; it is half over in the mean.
-  const Duration present =
-      writing > 0 ? PassTime(engine, entry.pace, writing, 0) / 2 : Duration(0);
-  return Scale(Scale(bare, passes) + pairing + present + queue,
+  const Duration current_pass =
+      generating > 0 ? PassTime(engine, entry.pace, generating, 0) / 2
+                     : Duration(0);
+  return Scale(Scale(pass_time, passes) + attention + current_pass + queue,
                entry.slowness) +
          Overhead(entry);
 }
 
-Duration DispatchBoard::Predict(std::string_view id,
-                                double prompt_tokens) const {
+Duration TargetSelector::Predict(std::string_view id,
+                                 double prompt_tokens) const {
   const Entry* entry = Find(id);
   return entry == nullptr ? Duration(0) : PredictEntry(*entry, prompt_tokens);
 }
 
-void DispatchBoard::OnFirstEvent(std::string_view id,
-                                 double prompt_tokens,
-                                 Duration predicted,
-                                 Duration measured) {
+void TargetSelector::OnFirstEvent(std::string_view id,
+                                  double prompt_tokens,
+                                  Duration predicted,
+                                  Duration measured) {
   Entry* entry = Find(id);
   if (entry == nullptr) {
     return;
@@ -120,37 +123,39 @@
   }
   LearnModel(*entry, measured - predicted);
   const Duration overhead = Overhead(*entry);
-  const double bare = ToSeconds(predicted - overhead) / entry->slowness;
-  if (bare <= 0) {
+  const double unscaled = ToSeconds(predicted - overhead) / entry->slowness;
+  if (unscaled <= 0) {
     return;
   }
-  const double ratio = ToSeconds(measured - overhead) / bare;
+  const double ratio = ToSeconds(measured - overhead) / unscaled;
   entry->slowness = std::clamp(
       entry->slowness + m_policy.smoothing * (ratio - entry->slowness),
-      entry->engine == nullptr ? kLeastPlainSlowness : kLeastSlowness,
-      kMostSlowness);
+      entry->engine == nullptr ? kMinPlainSlowness : kMinSlowness,
+      kMaxSlowness);
 }
 
-void DispatchBoard::LearnModel(Entry& entry, Duration late) {
-  if (entry.engine == nullptr || entry.recent == nullptr) {
+void TargetSelector::LearnModel(Entry& entry, Duration late) {
+  if (entry.engine == nullptr || entry.activity == nullptr) {
     return;
   }
-  Recent& recent = *entry.recent;
+  ModelActivity& activity = *entry.activity;
   const double slots = entry.target.slots;
-  const Duration place = PlaceTime(entry);
-  const double most = slots * kMostUnseen;
-  if (late > Scale(place, most)) {
+  const Duration release_interval = SlotReleaseInterval(entry);
+  const double max_extra_requests = slots * kMaxUnseen;
+  if (late > Scale(release_interval, max_extra_requests)) {
     // It stood still or is slow; neither is said of the others by that.
     return;
   }
-  if (CountRequests(entry) < slots * kFullShare) {
-    recent.overhead = std::max(
-        Duration(0), recent.overhead + Scale(late, m_policy.smoothing));
+  if (CountRequests(entry) < slots * kNearlyFullShare) {
+    activity.overhead = std::max(
+        Duration(0), activity.overhead + Scale(late, m_policy.smoothing));
     return;
   }
-  const double places = ToSeconds(late) / std::max(ToSeconds(place), 1e-6);
-  recent.unseen =
-      std::clamp(recent.unseen + m_policy.smoothing * places, 0.0, most);
+  const double extra_requests =
+      ToSeconds(late) / std::max(ToSeconds(release_interval), 1e-6);
+  activity.unseen =
+      std::clamp(activity.unseen + m_policy.smoothing * extra_requests, 0.0,
+                 max_extra_requests);
 }
 
 }  // namespace filbertrack
--- a/source/dispatch_selector.cc
+++ b/source/dispatch_selector.cc
@@ -7,17 +7,17 @@
 
 namespace filbertrack {
 
-std::string DispatchBoard::GroupKey(std::string_view service,
-                                    std::string_view model) {
+std::string TargetSelector::GroupKey(std::string_view service,
+                                     std::string_view model) {
   std::string key(service);
   key += ' ';
   key += model;
   return key;
 }
 
-void DispatchBoard::SetTargets(std::vector<DispatchTarget> targets,
-                               const Catalog& catalog,
-                               TimePoint) {
+void TargetSelector::SetTargets(std::vector<DispatchTarget> targets,
+                                const Catalog& catalog,
+                                TimePoint) {
   m_engines.clear();
   for (const auto& [name, service] : catalog.services()) {
     if (service.engine) {
@@ -38,7 +38,8 @@
     if (entry == nullptr) {
       entry = std::make_unique<Entry>();
     }
-    if (IsLaterLife(target.born_ms, entry->target.born_ms)) {
+    if (IsNewerInstance(target.process_start_ms,
+                        entry->target.process_start_ms)) {
       // Measured at an earlier process. Own requests are counted until each of
       // them ends.
       entry->slowness = 1;
@@ -53,8 +54,8 @@
     entry->pace = model == nullptr ? 1 : model->pace;
     entry->in_use = true;
     entry->target = std::move(target);
-    entry->recent =
-        &m_recent[GroupKey(entry->target.service, entry->target.model)];
+    entry->activity =
+        &m_activity[GroupKey(entry->target.service, entry->target.model)];
   }
   // A target that is no longer in use is kept while it has requests of ours.
   std::erase_if(m_entries, [](const auto& row) {
@@ -71,73 +72,75 @@
   }
 }
 
-void DispatchBoard::SetRemoteLoads(
+void TargetSelector::SetRemoteLoads(
     const std::map<std::string, TargetLoad, std::less<>>& loads,
-    size_t unheard,
-    TimePoint true_at) {
-  m_remote_at = true_at;
+    size_t unreported_hosts,
+    TimePoint as_of) {
+  m_remote_at = as_of;
   for (auto& [id, entry] : m_entries) {
     const auto found = loads.find(id);
     entry->remote = found == loads.end() ? TargetLoad{} : found->second;
   }
-  if (unheard > 0) {
+  if (unreported_hosts > 0) {
     for (auto& [key, group] : m_groups) {
-      AssumeLoads(group.all, unheard);
+      AddEstimatedLoads(group.all, unreported_hosts);
     }
   }
 }
 
-void DispatchBoard::AssumeLoads(Targets& targets, size_t unheard) {
+void TargetSelector::AddEstimatedLoads(Targets& targets,
+                                       size_t unreported_hosts) {
   double requests = 0;
   double prompts = 0;
   for (const Entry* entry : targets) {
     requests += entry->own.requests;
     prompts += entry->own.prompt_tokens;
   }
-  const double part =
-      static_cast<double>(unheard) / static_cast<double>(targets.size());
+  const double part = static_cast<double>(unreported_hosts) /
+                      static_cast<double>(targets.size());
   for (Entry* entry : targets) {
     entry->remote.requests += static_cast<int>(std::lround(requests * part));
     entry->remote.prompt_tokens += prompts * part;
   }
 }
 
-DispatchBoard::Entry* DispatchBoard::Find(std::string_view id) {
+TargetSelector::Entry* TargetSelector::Find(std::string_view id) {
   const auto found = m_entries.find(id);
   return found == m_entries.end() ? nullptr : found->second.get();
 }
 
-const DispatchBoard::Entry* DispatchBoard::Find(std::string_view id) const {
+const TargetSelector::Entry* TargetSelector::Find(std::string_view id) const {
   const auto found = m_entries.find(id);
   return found == m_entries.end() ? nullptr : found->second.get();
 }
 
-bool DispatchBoard::HasTarget(std::string_view id) const {
+bool TargetSelector::HasTarget(std::string_view id) const {
   const Entry* entry = Find(id);
   return entry != nullptr && entry->in_use;
 }
 
-size_t DispatchBoard::CountTargets() const {
+size_t TargetSelector::CountTargets() const {
   return static_cast<size_t>(
       std::count_if(m_entries.begin(), m_entries.end(),
                     [](const auto& row) { return row.second->in_use; }));
 }
 
-bool DispatchBoard::IsPaused(const Entry& entry, TimePoint now) const {
+bool TargetSelector::IsPaused(const Entry& entry, TimePoint now) const {
   if (entry.failures == 0 || !m_policy.pauses_failing) {
     return false;
   }
   const int doublings = std::min(entry.failures - 1, 8);
   const Duration pause = std::min(m_policy.failure_pause * (1 << doublings),
-                                  m_policy.longest_pause);
+                                  m_policy.max_failure_pause);
   return now < entry.last_failure + pause;
 }
 
-bool DispatchBoard::WasTried(const Entry& entry, const DispatchQuery& query) {
+bool TargetSelector::WasTried(const Entry& entry, const DispatchQuery& query) {
   return query.excluded != nullptr && query.excluded->contains(entry.target.id);
 }
 
-bool DispatchBoard::IsOutside(const Entry& entry, const DispatchQuery& query) {
+bool TargetSelector::IsOutsideRegions(const Entry& entry,
+                                      const DispatchQuery& query) {
   const auto binds = [&entry](std::span<const std::string> regions) {
     return !regions.empty() && std::find(regions.begin(), regions.end(),
                                          entry.target.region) == regions.end();
@@ -145,47 +148,49 @@
   return binds(query.route_regions) || binds(query.workspace_regions);
 }
 
-bool DispatchBoard::IsExcluded(const Entry& entry, const DispatchQuery& query) {
-  return WasTried(entry, query) || IsOutside(entry, query);
+bool TargetSelector::IsExcluded(const Entry& entry,
+                                const DispatchQuery& query) {
+  return WasTried(entry, query) || IsOutsideRegions(entry, query);
 }
 
-bool DispatchBoard::IsHeldBack(const Entry& entry,
-                               const DispatchQuery& query,
-                               TimePoint now) {
+bool TargetSelector::IsHeldBack(const Entry& entry,
+                                const DispatchQuery& query,
+                                TimePoint now) {
   // A server that names a limit soon has the fewest requests, so all entry
   // hosts would choose it.
   return query.backpressure != nullptr &&
-         !query.backpressure->MaySend(LifeOf(entry.target), now);
+         !query.backpressure->MaySend(InstanceOf(entry.target), now);
 }
 
-DispatchBoard::Targets DispatchBoard::DrawCandidates(const Targets& targets,
-                                                     const DispatchQuery& query,
-                                                     size_t limit,
-                                                     TimePoint now) {
-  Targets sound;
+TargetSelector::Targets TargetSelector::DrawCandidates(
+    const Targets& targets,
+    const DispatchQuery& query,
+    size_t limit,
+    TimePoint now) {
+  Targets usable;
   Targets paused;
   // A random start and then in turn: a sample without a copy of the group.
   const size_t start = m_random() % targets.size();
-  for (size_t i = 0; i < targets.size() && sound.size() < limit; ++i) {
+  for (size_t i = 0; i < targets.size() && usable.size() < limit; ++i) {
     Entry* entry = targets[(start + i) % targets.size()];
     if (IsExcluded(*entry, query) || IsHeldBack(*entry, query, now)) {
       continue;
     }
-    (IsPaused(*entry, now) ? paused : sound).push_back(entry);
+    (IsPaused(*entry, now) ? paused : usable).push_back(entry);
   }
   const double least =
-      m_policy.least_in_use * static_cast<double>(targets.size());
+      m_policy.min_in_use * static_cast<double>(targets.size());
   // If most of the targets fail at once, it is hardly the targets.
-  if (static_cast<double>(paused.size()) > least || sound.empty()) {
-    sound.insert(sound.end(), paused.begin(), paused.end());
+  if (static_cast<double>(paused.size()) > least || usable.empty()) {
+    usable.insert(usable.end(), paused.begin(), paused.end());
   }
-  return sound;
+  return usable;
 }
 
-DispatchBoard::Best DispatchBoard::FindBest(const Targets& targets,
-                                            const DispatchQuery& query,
-                                            TimePoint now,
-                                            Best best) {
+TargetSelector::Best TargetSelector::FindBest(const Targets& targets,
+                                              const DispatchQuery& query,
+                                              TimePoint now,
+                                              Best best) {
   for (const Entry* entry :
        DrawCandidates(targets, query, m_policy.candidates, now)) {
     const Duration predicted = PredictEntry(*entry, query.prompt_tokens);
@@ -196,54 +201,55 @@
   return best;
 }
 
-DispatchBoard::Best DispatchBoard::FindRoom(const Targets& targets,
-                                            const DispatchQuery& query,
-                                            TimePoint now,
-                                            Best best) {
+TargetSelector::Best TargetSelector::FindRoom(const Targets& targets,
+                                              const DispatchQuery& query,
+                                              TimePoint now,
+                                              Best best) {
   for (const Entry* entry :
-       DrawCandidates(targets, query, m_policy.most_candidates, now)) {
+       DrawCandidates(targets, query, m_policy.max_candidates, now)) {
     const Duration predicted = PredictEntry(*entry, query.prompt_tokens);
     const double taken = CountRequests(*entry) + 1;
-    if (predicted <= query.time_to_aim &&
-        taken <= entry->target.slots * m_policy.room_part) {
+    if (predicted <= query.time_to_slo &&
+        taken <= entry->target.slots * m_policy.max_slot_share) {
       return {entry, predicted};
     }
   }
   return best;
 }
 
-Duration DispatchBoard::RetryAfter(const DispatchQuery& query, TimePoint now) {
-  const Recent& recent = m_recent[GroupKey(query.service, query.model)];
-  const Duration lasted = now - recent.refusing_since;
+Duration TargetSelector::RetryAfter(const DispatchQuery& query, TimePoint now) {
+  const ModelActivity& activity =
+      m_activity[GroupKey(query.service, query.model)];
+  const Duration lasted = now - activity.refusing_since;
   const double part = std::uniform_real_distribution<double>(0.5, 1)(m_random);
-  return std::clamp(Scale(lasted, part), m_policy.least_retry_after,
-                    m_policy.most_retry_after);
+  return std::clamp(Scale(lasted, part), m_policy.min_retry_after,
+                    m_policy.max_retry_after);
 }
 
-void DispatchBoard::NoteRecent(const DispatchQuery& query,
-                               bool placed,
-                               TimePoint now) {
-  Recent& recent = m_recent[GroupKey(query.service, query.model)];
-  const double kept =
-      std::exp(-ToSeconds(now - recent.updated) / ToSeconds(m_policy.recent));
-  recent.placed = recent.placed * kept + (placed ? 1 : 0);
-  recent.refused = recent.refused * kept + (placed ? 0 : 1);
+void TargetSelector::RecordOutcome(const DispatchQuery& query,
+                                   bool placed,
+                                   TimePoint now) {
+  ModelActivity& activity = m_activity[GroupKey(query.service, query.model)];
+  const double kept = std::exp(-ToSeconds(now - activity.updated) /
+                               ToSeconds(m_policy.activity_decay_time));
+  activity.placed = activity.placed * kept + (placed ? 1 : 0);
+  activity.refused = activity.refused * kept + (placed ? 0 : 1);
   // Otherwise nobody would be let in any more, and nothing be learned, where
   // all look full by it.
-  recent.unseen *= kept;
-  recent.updated = now;
+  activity.unseen *= kept;
+  activity.updated = now;
   if (placed) {
     return;
   }
-  if (now - recent.last_refusal > m_policy.recent) {
-    recent.refusing_since = now;
+  if (now - activity.last_refusal > m_policy.activity_decay_time) {
+    activity.refusing_since = now;
   }
-  recent.last_refusal = now;
+  activity.last_refusal = now;
 }
 
-std::optional<double> DispatchBoard::Pressure(std::string_view service,
-                                              std::string_view model,
-                                              TimePoint now) const {
+std::optional<double> TargetSelector::Pressure(std::string_view service,
+                                               std::string_view model,
+                                               TimePoint now) const {
   const std::string key = GroupKey(service, model);
   const auto group = m_groups.find(key);
   if (group == m_groups.end()) {
@@ -252,7 +258,7 @@
   return PressureOf(key, group->second, now);
 }
 
-double DispatchBoard::MostPressure(TimePoint now) const {
+double TargetSelector::MaxPressure(TimePoint now) const {
   double most = 0;
   for (const auto& [key, group] : m_groups) {
     most = std::max(most, PressureOf(key, group, now));
@@ -260,39 +266,39 @@
   return most;
 }
 
-double DispatchBoard::PressureOf(const std::string& key,
-                                 const Group& group,
-                                 TimePoint now) const {
+double TargetSelector::PressureOf(const std::string& key,
+                                  const Group& group,
+                                  TimePoint now) const {
   double requests = 0;
   double slots = 0;
   for (const Entry* entry : group.all) {
     requests += entry->own.requests + entry->remote.requests;
     slots += entry->target.slots;
   }
-  const auto found = m_recent.find(key);
+  const auto found = m_activity.find(key);
   double refused_share = 0;
-  if (found != m_recent.end() &&
-      now - found->second.updated <= m_policy.recent) {
-    const Recent& recent = found->second;
-    refused_share = recent.refused / (recent.placed + recent.refused);
+  if (found != m_activity.end() &&
+      now - found->second.updated <= m_policy.activity_decay_time) {
+    const ModelActivity& activity = found->second;
+    refused_share = activity.refused / (activity.placed + activity.refused);
   }
   const double taken = requests / std::max(1.0, slots);
-  return std::min(m_policy.most_pressure,
+  return std::min(m_policy.max_pressure,
                   taken / std::max(1 - refused_share, 1e-3));
 }
 
-bool DispatchBoard::IsFull(const Entry& entry) {
+bool TargetSelector::IsFull(const Entry& entry) {
   return CountRequests(entry) + 1 > entry.target.slots;
 }
 
-bool DispatchBoard::AreAllTaken(const Targets& targets,
-                                const DispatchQuery& query,
-                                TimePoint now) {
+bool TargetSelector::AreAllSlotsTaken(const Targets& targets,
+                                      const DispatchQuery& query,
+                                      TimePoint now) {
   double requests = 0;
   double slots = 0;
   for (const Entry* entry : targets) {
     // Its free places are no room for the request.
-    if (IsOutside(*entry, query) || IsHeldBack(*entry, query, now)) {
+    if (IsOutsideRegions(*entry, query) || IsHeldBack(*entry, query, now)) {
       continue;
     }
     requests += entry->own.requests + entry->remote.requests;
@@ -301,38 +307,38 @@
   return requests >= slots;
 }
 
-Duration DispatchBoard::LongestWait(const Entry& entry,
-                                    const Group& group,
-                                    const DispatchQuery& query,
-                                    TimePoint now) const {
+Duration TargetSelector::MaxWait(const Entry& entry,
+                                 const Group& group,
+                                 const DispatchQuery& query,
+                                 TimePoint now) const {
   if (CountRequests(entry) < 1) {
     return Duration::max();
   }
-  if (IsFull(entry) && AreAllTaken(group.all, query, now)) {
+  if (IsFull(entry) && AreAllSlotsTaken(group.all, query, now)) {
     return std::min(query.time_left,
-                    Scale(query.time_to_aim, m_policy.full_aim_slack));
+                    Scale(query.time_to_slo, m_policy.saturated_slo_factor));
   }
   // It makes few wait. If it is late already, it is served late.
-  const Duration longest = query.time_to_aim > Duration(0)
-                               ? Scale(query.time_to_aim, m_policy.aim_slack)
+  const Duration longest = query.time_to_slo > Duration(0)
+                               ? Scale(query.time_to_slo, m_policy.slo_factor)
                                : query.time_left;
   return std::min(query.time_left, longest);
 }
 
-DispatchRefusal DispatchBoard::RefuseWithoutTarget(const Group& group,
-                                                   const DispatchQuery& query,
-                                                   TimePoint now) {
+DispatchRefusal TargetSelector::RefuseWithoutTarget(const Group& group,
+                                                    const DispatchQuery& query,
+                                                    TimePoint now) {
   std::optional<Duration> wait;
   bool any_held_back = false;
   bool any_inside = false;
   for (const Entry* entry : group.all) {
-    any_inside = any_inside || !IsOutside(*entry, query);
+    any_inside = any_inside || !IsOutsideRegions(*entry, query);
     if (IsExcluded(*entry, query) || !IsHeldBack(*entry, query, now)) {
       continue;
     }
     any_held_back = true;
     const auto until =
-        query.backpressure->UntilSend(LifeOf(entry->target), now);
+        query.backpressure->UntilSend(InstanceOf(entry->target), now);
     if (until && (!wait || *until < *wait)) {
       wait = until;
     }
@@ -343,19 +349,19 @@
   if (!any_held_back) {
     return {DispatchDenial::kNoneServing, m_policy.repair_time, {}};
   }
-  NoteRecent(query, false, now);
+  RecordOutcome(query, false, now);
   return {DispatchDenial::kAllHeldBack,
           std::max(RetryAfter(query, now), wait.value_or(Duration(0))),
           {}};
 }
 
-DispatchDecision DispatchBoard::Choose(const DispatchQuery& query,
-                                       TimePoint now) {
+DispatchDecision TargetSelector::Choose(const DispatchQuery& query,
+                                        TimePoint now) {
   const std::string key = GroupKey(query.service, query.model);
   const auto found = m_groups.find(key);
   if (found == m_groups.end() && m_evacuated_groups.contains(key)) {
     return DispatchRefusal{
-        DispatchDenial::kAllEvacuated, m_policy.most_retry_after, {}};
+        DispatchDenial::kAllEvacuated, m_policy.max_retry_after, {}};
   }
   if (found == m_groups.end()) {
     return DispatchRefusal{
@@ -363,14 +369,14 @@
   }
   const Group& group = found->second;
   Best found_best;
-  const auto near = group.by_data_centre.find(query.near_data_centre);
-  if (near != group.by_data_centre.end()) {
-    found_best = FindBest(near->second, query, now, {});
+  const auto local = group.by_data_centre.find(query.local_data_centre);
+  if (local != group.by_data_centre.end()) {
+    found_best = FindBest(local->second, query, now, {});
   }
-  if (found_best.entry == nullptr || found_best.time > query.time_to_aim) {
+  if (found_best.entry == nullptr || found_best.time > query.time_to_slo) {
     found_best = FindBest(group.all, query, now, found_best);
   }
-  if (found_best.entry != nullptr && found_best.time > query.time_to_aim &&
+  if (found_best.entry != nullptr && found_best.time > query.time_to_slo &&
       m_policy.looks_wider) {
     found_best = FindRoom(group.all, query, now, found_best);
   }
@@ -379,28 +385,28 @@
   if (best == nullptr) {
     return RefuseWithoutTarget(group, query, now);
   }
-  if (best_time > LongestWait(*best, group, query, now)) {
-    NoteRecent(query, false, now);
+  if (best_time > MaxWait(*best, group, query, now)) {
+    RecordOutcome(query, false, now);
     return DispatchRefusal{DispatchDenial::kAllBusy, RetryAfter(query, now),
                            best_time};
   }
-  NoteRecent(query, true, now);
+  RecordOutcome(query, true, now);
   return DispatchChoice{best->target, best_time, best->own.requests,
                         best->remote.requests, now - m_remote_at};
 }
 
-void DispatchBoard::OnSent(std::string_view id, double prompt_tokens) {
+void TargetSelector::OnSent(std::string_view id, double prompt_tokens) {
   if (Entry* entry = Find(id)) {
     ++entry->own.requests;
     entry->own.prompt_tokens += prompt_tokens;
   }
 }
 
-void DispatchBoard::OnEnded(std::string_view id,
-                            double prompt_tokens,
-                            bool prompt_pending,
-                            DispatchResult result,
-                            TimePoint now) {
+void TargetSelector::OnEnded(std::string_view id,
+                             double prompt_tokens,
+                             bool prompt_pending,
+                             DispatchResult result,
+                             TimePoint now) {
   Entry* entry = Find(id);
   if (entry == nullptr) {
     return;
@@ -418,7 +424,7 @@
   }
 }
 
-std::vector<std::pair<std::string, TargetLoad>> DispatchBoard::OwnLoads()
+std::vector<std::pair<std::string, TargetLoad>> TargetSelector::OwnLoads()
     const {
   std::vector<std::pair<std::string, TargetLoad>> loads;
   for (const auto& [id, entry] : m_entries) {
--- a/source/entry_backpressure.cc
+++ b/source/entry_backpressure.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-void LogLimit(const ServerLife& server,
+void LogLimit(const ServerInstance& server,
               const std::optional<double>& limit,
               std::string_view from) {
   nlohmann::json fields = {{"server", server.id}, {"from", from}};
@@ -24,9 +24,9 @@
                                  const AnswerFacts& facts,
                                  TimePoint sent,
                                  TimePoint now) {
-  const ServerLife server = LifeOf(target);
-  if (facts.rest) {
-    m_state.OnRest(server, *facts.rest, now);
+  const ServerInstance server = InstanceOf(target);
+  if (facts.backoff) {
+    m_state.OnBackoff(server, *facts.backoff, now);
   }
   if (facts.leaving && m_state.OnLeaving(server, now)) {
     Log(LogLevel::kInfo, "server-leaving",
@@ -36,7 +36,7 @@
     // Not by the server's own hand, so it does not lift a limit.
     return;
   }
-  const LimitReading reading{server, facts.rate_limit, sent};
+  const LimitObservation reading{server, facts.rate_limit, sent};
   if (m_state.OnAnswer(reading, now)) {
     LogLimit(reading.server, reading.limit, "answer");
   }
@@ -46,7 +46,7 @@
                                double per_second,
                                TimePoint until,
                                TimePoint now) {
-  if (m_state.OnCold({LifeOf(target), per_second, until}, now)) {
+  if (m_state.OnCold({InstanceOf(target), per_second, until}, now)) {
     Log(LogLevel::kInfo, "server-cold",
         {{"server", target.id},
          {"left_ms", ToMilliseconds(until - now)},
@@ -54,12 +54,12 @@
   }
 }
 
-void EntryBackpressure::OnNews(const LimitNews& news,
-                               std::string_view peer,
-                               TimePoint now) {
-  for (const LimitWord& word : news.words) {
-    if (m_state.OnNews(word, now)) {
-      LogLimit(word.server, word.limit, peer);
+void EntryBackpressure::OnPeerUpdate(const LimitUpdate& update,
+                                     std::string_view peer,
+                                     TimePoint now) {
+  for (const LimitRecord& record : update.words) {
+    if (m_state.OnPeerUpdate(record, now)) {
+      LogLimit(record.server, record.limit, peer);
     }
   }
 }
--- a/source/entry_control.cc
+++ b/source/entry_control.cc
@@ -67,7 +67,7 @@
                            const ControlPolicy& policy,
                            EntryHost& host,
                            EntryPeers& peers,
-                           EngineLink& engines,
+                           EngineClient& engines,
                            RecordStore& records)
     : m_loop(loop),
       m_policy(policy),
@@ -185,7 +185,7 @@
     ReplicaMemory& memory = m_memory[name];
     memory.term = m_lease.fence();
     const ReplicaInput input{m_host.directory(),
-                             m_prober.findings(),
+                             m_prober.probe_results(),
                              service,
                              !m_host.traffic_seen(),
                              m_prober.AllAsked(m_host.directory(), name),
@@ -223,9 +223,9 @@
   line["why"] = planned.reason;
   line["fence"] = m_lease.fence();
   Log(LogLevel::kInfo, "order", line);
-  const auto hosts = planned.only.empty()
+  const auto hosts = planned.recipients.empty()
                          ? std::visit(OrderHosts{}, planned.order)
-                         : planned.only;
+                         : planned.recipients;
   for (const std::string& host : hosts) {
     m_outbox.Push(host, planned.order);
   }
@@ -280,7 +280,7 @@
                              OrderResult result) {
   const auto memory = m_memory.find(service);
   if (result != OrderResult::kUnknown && memory != m_memory.end()) {
-    NoteOrderAnswered(order, memory->second);
+    OnOrderAnswered(order, memory->second);
   }
   const auto* leave = std::get_if<LeaveGroup>(&order);
   // Where another process has the address, the host's own has ended.
