--- a/source/metrics.cc
+++ b/source/metrics.cc
@@ -14,7 +14,7 @@
 /// The text page writes every so many edges.
 constexpr int kBinsPerEdge = 20;
 constexpr double kShortestSeconds = 50e-6;
-constexpr double kLongestSeconds = 100;
+constexpr double kMaxSeconds = 100;
 
 using Axis = histogram::axis::regular<double, histogram::axis::transform::log>;
 using Storage = histogram::dense_storage<uint64_t>;
@@ -51,7 +51,7 @@
   histogram::histogram<std::tuple<Axis>, Storage> counts =
       histogram::make_histogram_with(
           Storage(),
-          Axis(kBins, kShortestSeconds, kLongestSeconds));
+          Axis(kBins, kShortestSeconds, kMaxSeconds));
 };
 
 LatencyHistogram::LatencyHistogram() : m_bins(std::make_unique<Bins>()) {}
@@ -76,7 +76,7 @@
 Duration LatencyHistogram::Quantile(double quantile) const {
   const auto wanted =
       static_cast<uint64_t>(std::ceil(quantile * static_cast<double>(m_count)));
-  Duration edge = FromSeconds(kLongestSeconds);
+  Duration edge = FromSeconds(kMaxSeconds);
   bool found = false;
   ForEachBin([&](double upper, uint64_t below) {
     if (!found && below >= wanted) {
--- a/source/peer_frame.cc
+++ b/source/peer_frame.cc
@@ -5,31 +5,31 @@
 namespace filbertrack {
 
 std::string FrameSealer::Seal(std::string_view payload) {
-  std::string frame = Code(payload);
+  std::string frame = ComputeMac(payload);
   ++m_counter;
   frame += payload;
   return frame;
 }
 
 std::optional<std::string_view> FrameSealer::Open(std::string_view frame) {
-  if (frame.size() < kCodeBytes) {
+  if (frame.size() < kMacBytes) {
     return std::nullopt;
   }
-  const std::string_view payload = frame.substr(kCodeBytes);
-  if (!ConstantTimeEqual(frame.substr(0, kCodeBytes), Code(payload))) {
+  const std::string_view payload = frame.substr(kMacBytes);
+  if (!ConstantTimeEqual(frame.substr(0, kMacBytes), ComputeMac(payload))) {
     return std::nullopt;
   }
   ++m_counter;
   return payload;
 }
 
-std::string FrameSealer::Code(std::string_view payload) const {
-  std::string signed_text = m_context;
-  signed_text += ' ';
-  signed_text += std::to_string(m_counter);
-  signed_text += ' ';
-  signed_text += payload;
-  return HmacSha256(m_key, signed_text).substr(0, kCodeBytes);
+std::string FrameSealer::ComputeMac(std::string_view payload) const {
+  std::string authenticated_text = m_context;
+  authenticated_text += ' ';
+  authenticated_text += std::to_string(m_counter);
+  authenticated_text += ' ';
+  authenticated_text += payload;
+  return HmacSha256(m_key, authenticated_text).substr(0, kMacBytes);
 }
 
 }  // namespace filbertrack
--- a/source/peer_link.cc
+++ b/source/peer_link.cc
@@ -91,7 +91,7 @@
   static const size_t connection_read_buffer_size = 16384;
   static const bool drop_on_protocol_error = true;
   static const bool silent_close = true;
-  static const size_t max_message_size = kMostPeerMessageBytes;
+  static const size_t max_message_size = kMaxPeerMessageBytes;
   static const size_t max_http_body_size = 1024;
   static const bool enable_extensions = false;
 };
@@ -122,22 +122,24 @@
 
 /// One socket with one websocket connection on it.
 template <typename Endpoint>
-class Wire : public std::enable_shared_from_this<Wire<Endpoint>> {
+class WebSocketStream
+    : public std::enable_shared_from_this<WebSocketStream<Endpoint>> {
  public:
   using Connection = typename Endpoint::connection_ptr;
 
-  Wire(EventLoop& loop, bufferevent* socket, Connection connection)
+  WebSocketStream(EventLoop& loop, bufferevent* socket, Connection connection)
       : m_loop(loop), m_socket(socket), m_connection(std::move(connection)) {
     m_connection->set_write_handler(
         [this](const ws::connection_hdl&, const char* bytes, size_t size) {
           Write(bytes, size);
           return ws::lib::error_code();
         });
-    bufferevent_setcb(m_socket, &Wire::OnRead, nullptr, &Wire::OnEvent, this);
+    bufferevent_setcb(m_socket, &WebSocketStream::OnRead, nullptr,
+                      &WebSocketStream::OnEvent, this);
     bufferevent_enable(m_socket, EV_READ | EV_WRITE);
   }
 
-  ~Wire() {
+  ~WebSocketStream() {
     m_connection->set_message_handler(nullptr);
     m_connection->set_open_handler(nullptr);
     m_connection->set_fail_handler(nullptr);
@@ -184,32 +186,32 @@
   }
 
   static void OnRead(bufferevent* socket, void* self) {
-    const auto wire = static_cast<Wire*>(self)->shared_from_this();
+    const auto stream = static_cast<WebSocketStream*>(self)->shared_from_this();
     std::string bytes(evbuffer_get_length(bufferevent_get_input(socket)), '\0');
     bytes.resize(bufferevent_read(socket, bytes.data(), bytes.size()));
     ProcessPeerTraffic().bytes_in += bytes.size();
-    if (wire->m_closed) {
+    if (stream->m_closed) {
       return;
     }
-    const size_t taken =
-        wire->m_connection->read_all(bytes.data(), bytes.size());
+    const size_t consumed =
+        stream->m_connection->read_all(bytes.data(), bytes.size());
     // Bytes that the library does not take follow a protocol error.
-    if (taken < bytes.size() ||
-        wire->m_connection->get_state() == ws::session::state::closed) {
-      wire->Close();
+    if (consumed < bytes.size() ||
+        stream->m_connection->get_state() == ws::session::state::closed) {
+      stream->Close();
     }
   }
 
   static void OnEvent(bufferevent*, short what, void* self) {
-    const auto wire = static_cast<Wire*>(self)->shared_from_this();
+    const auto stream = static_cast<WebSocketStream*>(self)->shared_from_this();
     if ((what & BEV_EVENT_CONNECTED) != 0) {
-      SetNoDelay(bufferevent_getfd(wire->m_socket));
-      if (wire->on_connected) {
-        wire->on_connected();
+      SetNoDelay(bufferevent_getfd(stream->m_socket));
+      if (stream->on_connected) {
+        stream->on_connected();
       }
       return;
     }
-    wire->Close();
+    stream->Close();
   }
 
   EventLoop& m_loop;
@@ -219,7 +221,7 @@
 };
 
 template <typename Endpoint>
-void Prepare(Endpoint& endpoint) {
+void DisableLogging(Endpoint& endpoint) {
   endpoint.clear_access_channels(ws::log::alevel::all);
   endpoint.clear_error_channels(ws::log::elevel::all);
 }
@@ -233,18 +235,18 @@
 
 struct PeerServer::State : std::enable_shared_from_this<PeerServer::State> {
   struct Peer {
-    std::shared_ptr<Wire<WsServer>> wire;
+    std::shared_ptr<WebSocketStream<WsServer>> stream;
     std::string client_nonce;
     std::string server_nonce;
     std::unique_ptr<FrameSealer> in;
     std::unique_ptr<FrameSealer> out;
   };
 
-  State(EventLoop& event_loop, std::string shared_key, Handler on_question)
+  State(EventLoop& event_loop, std::string shared_key, Handler request_handler)
       : loop(event_loop),
         key(std::move(shared_key)),
-        handler(std::move(on_question)) {
-    Prepare(endpoint);
+        handler(std::move(request_handler)) {
+    DisableLogging(endpoint);
   }
 
   ~State() {
@@ -268,10 +270,11 @@
     const uint64_t id = ++last_peer;
     auto connection = endpoint.get_connection();
     Peer& peer = peers[id];
-    peer.wire = std::make_shared<Wire<WsServer>>(loop, buffered, connection);
-    peer.wire->on_closed = [this, id] { peers.erase(id); };
+    peer.stream =
+        std::make_shared<WebSocketStream<WsServer>>(loop, buffered, connection);
+    peer.stream->on_closed = [this, id] { peers.erase(id); };
     connection->set_open_handler(
-        [this, id](const ws::connection_hdl&) { Opened(id); });
+        [this, id](const ws::connection_hdl&) { OnOpen(id); });
     connection->set_message_handler(
         [this, id](const ws::connection_hdl&,
                    const WsServer::message_ptr& message) {
@@ -280,16 +283,16 @@
     connection->start();
   }
 
-  void Opened(uint64_t id) {
+  void OnOpen(uint64_t id) {
     Peer& peer = peers.at(id);
-    peer.client_nonce =
-        peer.wire->connection()->get_request_header(std::string(kNonceHeader));
+    peer.client_nonce = peer.stream->connection()->get_request_header(
+        std::string(kNonceHeader));
     peer.server_nonce = RandomId();
     peer.in = std::make_unique<FrameSealer>(
         key, SealContext("ask", peer.client_nonce, peer.server_nonce));
     peer.out = std::make_unique<FrameSealer>(
         key, SealContext("answer", peer.client_nonce, peer.server_nonce));
-    peer.wire->SendBinary(peer.server_nonce);
+    peer.stream->SendBinary(peer.server_nonce);
   }
 
   void OnFrame(uint64_t id, const std::string& frame) {
@@ -298,7 +301,7 @@
     if (!payload) {
       // A stranger, or a frame out of its place: nothing of it is read.
       ++ProcessPeerTraffic().refused_frames;
-      peer.wire->Close();
+      peer.stream->Close();
       return;
     }
     ++ProcessPeerTraffic().messages_in;
@@ -312,7 +315,7 @@
   void Send(uint64_t id, const std::string& answer) {
     const auto peer = peers.find(id);
     if (peer != peers.end()) {
-      peer->second.wire->SendBinary(peer->second.out->Seal(answer));
+      peer->second.stream->SendBinary(peer->second.out->Seal(answer));
     }
   }
 
@@ -355,7 +358,7 @@
 
   State(EventLoop& event_loop, std::string shared_key, Address peer)
       : loop(event_loop), key(std::move(shared_key)), address(std::move(peer)) {
-    Prepare(endpoint);
+    DisableLogging(endpoint);
   }
 
   void Connect() {
@@ -371,10 +374,11 @@
         });
     bufferevent* buffered =
         bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
-    wire = std::make_shared<Wire<WsClient>>(loop, buffered, connection);
+    stream =
+        std::make_shared<WebSocketStream<WsClient>>(loop, buffered, connection);
     in.reset();
-    wire->on_connected = [this, connection] { endpoint.connect(connection); };
-    wire->on_closed = [this] { Drop(); };
+    stream->on_connected = [this, connection] { endpoint.connect(connection); };
+    stream->on_closed = [this] { Disconnect(); };
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(address.port);
@@ -389,41 +393,41 @@
           key, SealContext("answer", client_nonce, frame));
       out = std::make_unique<FrameSealer>(
           key, SealContext("ask", client_nonce, frame));
-      SendQuestion();
+      SendRequest();
       return;
     }
     const auto payload = in->Open(frame);
     if (!payload) {
       ++ProcessPeerTraffic().refused_frames;
-      wire->Close();
+      stream->Close();
       return;
     }
     ++ProcessPeerTraffic().messages_in;
     const std::string answer(*payload);
-    Finish(&answer);
+    Complete(&answer);
   }
 
-  void SendQuestion() {
+  void SendRequest() {
     if (done && !sent && in != nullptr) {
       sent = true;
-      wire->SendBinary(out->Seal(question));
+      stream->SendBinary(out->Seal(request));
     }
   }
 
   /// The connection is gone; a late answer on it cannot come any more.
-  void Drop() {
-    if (wire != nullptr) {
-      wire->on_closed = nullptr;
-      wire->on_connected = nullptr;
-      loop.Post([dropped = wire] {});
-      wire->Close();
+  void Disconnect() {
+    if (stream != nullptr) {
+      stream->on_closed = nullptr;
+      stream->on_connected = nullptr;
+      loop.Post([kept_alive = stream] {});
+      stream->Close();
     }
-    wire.reset();
+    stream.reset();
     in.reset();
-    Finish(nullptr);
+    Complete(nullptr);
   }
 
-  void Finish(const std::string* answer) {
+  void Complete(const std::string* answer) {
     timer.reset();
     const Done finished = std::move(done);
     done = nullptr;
@@ -436,11 +440,11 @@
   std::string key;
   Address address;
   WsClient endpoint;
-  std::shared_ptr<Wire<WsClient>> wire;
+  std::shared_ptr<WebSocketStream<WsClient>> stream;
   std::string client_nonce;
   std::unique_ptr<FrameSealer> in;
   std::unique_ptr<FrameSealer> out;
-  std::string question;
+  std::string request;
   bool sent = false;
   Done done;
   std::unique_ptr<Timer> timer;
@@ -452,21 +456,21 @@
 
 PeerClient::~PeerClient() {
   m_state->done = nullptr;
-  m_state->Drop();
+  m_state->Disconnect();
 }
 
 void PeerClient::Ask(std::string payload,
                      Duration timeout,
                      std::function<void(const std::string*)> done) {
   State& state = *m_state;
-  state.question = std::move(payload);
+  state.request = std::move(payload);
   state.sent = false;
   state.done = std::move(done);
-  state.timer = state.loop.After(timeout, [&state] { state.Drop(); });
-  if (state.wire == nullptr) {
+  state.timer = state.loop.After(timeout, [&state] { state.Disconnect(); });
+  if (state.stream == nullptr) {
     state.Connect();
   } else {
-    state.SendQuestion();
+    state.SendRequest();
   }
 }
 
--- a/source/peer_message.cc
+++ b/source/peer_message.cc
@@ -13,13 +13,13 @@
 using Json = nlohmann::json;
 
 enum class MessageKind : int {
-  kExchangeAsk = 1,
-  kExchangeAnswer = 2,
-  kKeyedAsk = 3,
-  kKeyedAnswer = 4,
+  kExchangeRequest = 1,
+  kExchangeReply = 2,
+  kKeyedRequest = 3,
+  kKeyedReply = 4,
 };
 
-constexpr size_t kMostRows = 100000;
+constexpr size_t kMaxRows = 100000;
 
 Json Pack(const PeerState& state) {
   return Json::array({state.node, state.incarnation, state.address.ToString(),
@@ -40,11 +40,11 @@
   return state;
 }
 
-Json Pack(const LoanWish& wish) {
-  return Json::array({wish.workspace, wish.service, wish.requests_per_second});
+Json Pack(const EntitlementLoan& loan) {
+  return Json::array({loan.workspace, loan.service, loan.requests_per_second});
 }
 
-LoanWish UnpackWish(const Json& value) {
+EntitlementLoan UnpackLoan(const Json& value) {
   return {value.at(0), value.at(1), value.at(2)};
 }
 
@@ -58,11 +58,11 @@
           Milliseconds(value.at(3).get<uint32_t>()), value.at(4)};
 }
 
-Json Pack(const PeerNews& news) {
-  return Json::array({Pack(news.state), ToMilliseconds(news.age)});
+Json Pack(const PeerUpdate& update) {
+  return Json::array({Pack(update.state), ToMilliseconds(update.age)});
 }
 
-PeerNews UnpackNews(const Json& value) {
+PeerUpdate UnpackPeerUpdate(const Json& value) {
   return {UnpackState(value.at(0)), Milliseconds(value.at(1).get<uint32_t>())};
 }
 
@@ -82,9 +82,9 @@
   return {value.at(0), value.at(2), value.at(1)};
 }
 
-Json Pack(const KeyedOrder& order) {
-  return Json::array(
-      {order.key, Json::binary({order.payload.begin(), order.payload.end()})});
+Json Pack(const KeyedOperation& operation) {
+  return Json::array({operation.key, Json::binary({operation.payload.begin(),
+                                                   operation.payload.end()})});
 }
 
 std::string UnpackBytes(const Json& value) {
@@ -92,7 +92,7 @@
   return {bytes.begin(), bytes.end()};
 }
 
-KeyedOrder UnpackOrder(const Json& value) {
+KeyedOperation UnpackOperation(const Json& value) {
   return {value.at(0), UnpackBytes(value.at(1))};
 }
 
@@ -112,7 +112,7 @@
 template <typename Row>
 std::vector<Row> UnpackRows(const Json& list, Row (*unpack)(const Json&)) {
   std::vector<Row> rows;
-  if (!list.is_array() || list.size() > kMostRows) {
+  if (!list.is_array() || list.size() > kMaxRows) {
     throw Json::type_error::create(302, "not a list of rows", &list);
   }
   rows.reserve(list.size());
@@ -127,49 +127,51 @@
 }
 
 struct Packer {
-  Json operator()(const ExchangeAsk& ask) const {
-    return Json::array({MessageKind::kExchangeAsk, kPeerProtocol,
-                        Pack(ask.from), ask.cache_digest, ask.table_digest,
-                        ask.wanted_objects, PackRows(ask.loan_wishes)});
+  Json operator()(const ExchangeRequest& request) const {
+    return Json::array({MessageKind::kExchangeRequest, kPeerProtocol,
+                        Pack(request.from), request.cache_digest,
+                        request.table_digest, request.wanted_objects,
+                        PackRows(request.loan_requests)});
   }
-  Json operator()(const ExchangeAnswer& answer) const {
+  Json operator()(const ExchangeReply& reply) const {
     return Json::array(
-        {MessageKind::kExchangeAnswer, kPeerProtocol, Pack(answer.from),
-         answer.cache_digest, PackRows(answer.inventory),
-         PackRows(answer.objects), PackRows(answer.peers),
-         PackByteList(answer.peer_ages), PackRows(answer.evidence),
-         PackByteList(answer.evidence_bytes), PackRows(answer.loans)});
+        {MessageKind::kExchangeReply, kPeerProtocol, Pack(reply.from),
+         reply.cache_digest, PackRows(reply.inventory), PackRows(reply.objects),
+         PackRows(reply.peers), PackByteList(reply.peer_ages),
+         PackRows(reply.evidence), PackByteList(reply.evidence_bytes),
+         PackRows(reply.loans)});
   }
-  Json operator()(const KeyedAsk& ask) const {
-    return Json::array({MessageKind::kKeyedAsk, kPeerProtocol, ask.from,
-                        PackRows(ask.orders)});
+  Json operator()(const KeyedRequest& request) const {
+    return Json::array({MessageKind::kKeyedRequest, kPeerProtocol, request.from,
+                        PackRows(request.orders)});
   }
-  Json operator()(const KeyedAnswer& answer) const {
+  Json operator()(const KeyedReply& reply) const {
     return Json::array(
-        {MessageKind::kKeyedAnswer, kPeerProtocol, PackRows(answer.verdicts)});
+        {MessageKind::kKeyedReply, kPeerProtocol, PackRows(reply.verdicts)});
   }
 };
 
 PeerMessage Unpack(const Json& value) {
   switch (value.at(0).get<MessageKind>()) {
-    case MessageKind::kExchangeAsk:
-      return ExchangeAsk{UnpackState(value.at(2)), value.at(3), value.at(4),
-                         value.at(5).get<std::vector<std::string>>(),
-                         UnpackRows(value.at(6), UnpackWish)};
-    case MessageKind::kExchangeAnswer:
-      return ExchangeAnswer{UnpackState(value.at(2)),
-                            value.at(3),
-                            UnpackRows(value.at(4), UnpackVersion),
-                            UnpackRows(value.at(5), UnpackObject),
-                            UnpackRows(value.at(6), UnpackNews),
-                            value.at(7).get_binary(),
-                            UnpackRows(value.at(8), UnpackEvidence),
-                            value.at(9).get_binary(),
-                            UnpackRows(value.at(10), UnpackWish)};
-    case MessageKind::kKeyedAsk:
-      return KeyedAsk{value.at(2), UnpackRows(value.at(3), UnpackOrder)};
-    case MessageKind::kKeyedAnswer:
-      return KeyedAnswer{UnpackRows(value.at(2), UnpackBytes)};
+    case MessageKind::kExchangeRequest:
+      return ExchangeRequest{UnpackState(value.at(2)), value.at(3), value.at(4),
+                             value.at(5).get<std::vector<std::string>>(),
+                             UnpackRows(value.at(6), UnpackLoan)};
+    case MessageKind::kExchangeReply:
+      return ExchangeReply{UnpackState(value.at(2)),
+                           value.at(3),
+                           UnpackRows(value.at(4), UnpackVersion),
+                           UnpackRows(value.at(5), UnpackObject),
+                           UnpackRows(value.at(6), UnpackPeerUpdate),
+                           value.at(7).get_binary(),
+                           UnpackRows(value.at(8), UnpackEvidence),
+                           value.at(9).get_binary(),
+                           UnpackRows(value.at(10), UnpackLoan)};
+    case MessageKind::kKeyedRequest:
+      return KeyedRequest{value.at(2),
+                          UnpackRows(value.at(3), UnpackOperation)};
+    case MessageKind::kKeyedReply:
+      return KeyedReply{UnpackRows(value.at(2), UnpackBytes)};
   }
   throw Json::other_error::create(501, "unknown kind of message", &value);
 }
@@ -181,7 +183,7 @@
 }
 
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes) {
-  if (bytes.size() > kMostPeerMessageBytes) {
+  if (bytes.size() > kMaxPeerMessageBytes) {
     return Fail(ResultCode::kBadRequest, "A peer's message is too large.");
   }
   const Json value = ParseCbor(bytes).value_or(Json());
@@ -200,11 +202,11 @@
   }
 }
 
-uint8_t PackAge(Duration age, Duration unit, uint8_t most) {
+uint8_t PackAge(Duration age, Duration unit, uint8_t max_units) {
   // Rounded up: an age may look older than it is, and never younger.
   const int64_t units = (age + unit - Duration(1)) / unit;
   return static_cast<uint8_t>(
-      std::clamp<int64_t>(units, 0, static_cast<int64_t>(most)));
+      std::clamp<int64_t>(units, 0, static_cast<int64_t>(max_units)));
 }
 
 }  // namespace filbertrack
--- a/source/poison_ledger.cc
+++ b/source/poison_ledger.cc
@@ -6,11 +6,11 @@
 namespace filbertrack {
 
 bool PoisonLedger::Note(const PoisonFact& fact, TimePoint at) {
-  return std::visit([this, at](const auto& kind) { return Take(kind, at); },
+  return std::visit([this, at](const auto& kind) { return Apply(kind, at); },
                     fact);
 }
 
-bool PoisonLedger::Take(const EndedUnder& fact, TimePoint at) {
+bool PoisonLedger::Apply(const EndedDuringRequest& fact, TimePoint at) {
   const auto cleared = m_cleared.find(fact.digest);
   if (cleared != m_cleared.end() && cleared->second.at >= at) {
     return false;
@@ -26,7 +26,7 @@
   }
   if (is_new) {
     m_ends_of[fact.digest].insert(fact.server);
-    ++m_end_rows;
+    ++m_end_count;
     end.at = at;
   }
   end.progress = std::max(end.progress, fact.progress);
@@ -35,14 +35,14 @@
   return true;
 }
 
-bool PoisonLedger::Take(const FoundAlive& fact, TimePoint at) {
+bool PoisonLedger::Apply(const FoundAlive& fact, TimePoint at) {
   const auto ended = m_ends.find(fact.server);
   Stamp& stamp = m_alive[fact.server];
-  if (stamp.revision != 0 && at <= stamp.at + m_policy.same_word) {
+  if (stamp.revision != 0 && at <= stamp.at + m_policy.duplicate_window) {
     return false;
   }
   stamp = {at, ++m_revision};
-  BoundWords(m_alive);
+  BoundRecords(m_alive);
   if (ended == m_ends.end()) {
     return true;
   }
@@ -55,69 +55,71 @@
   return true;
 }
 
-bool PoisonLedger::Take(const Cleared& fact, TimePoint at) {
+bool PoisonLedger::Apply(const Cleared& fact, TimePoint at) {
   Stamp& stamp = m_cleared[fact.digest];
-  if (stamp.revision != 0 && at <= stamp.at + m_policy.same_word) {
+  if (stamp.revision != 0 && at <= stamp.at + m_policy.duplicate_window) {
     return false;
   }
   stamp = {at, ++m_revision};
-  BoundWords(m_cleared);
+  BoundRecords(m_cleared);
   const auto found = m_ends_of.find(fact.digest);
   if (found != m_ends_of.end()) {
-    const std::set<ServerLife> servers = found->second;
-    for (const ServerLife& server : servers) {
+    const std::set<ServerInstance> servers = found->second;
+    for (const ServerInstance& server : servers) {
       if (m_ends.at(server).at(fact.digest).at <= at) {
         EraseEnd(server, fact.digest);
       }
     }
   }
-  const auto mark = m_marks.find(fact.digest);
-  if (mark != m_marks.end() && mark->second.at <= at) {
-    m_marks.erase(mark);
+  const auto block = m_blocks.find(fact.digest);
+  if (block != m_blocks.end() && block->second.at <= at) {
+    m_blocks.erase(block);
   }
   return true;
 }
 
-bool PoisonLedger::Take(const Marked& fact, TimePoint at) {
+bool PoisonLedger::Apply(const Blocked& fact, TimePoint at) {
   const auto cleared = m_cleared.find(fact.digest);
   if (cleared != m_cleared.end() && cleared->second.at >= at) {
     return false;
   }
-  Mark& mark = m_marks[fact.digest];
-  const bool is_known = mark.revision != 0;
-  if (is_known && mark.ends >= fact.ends && (!mark.lapsed || mark.at >= at)) {
+  Block& block = m_blocks[fact.digest];
+  const bool is_known = block.revision != 0;
+  if (is_known && block.ends >= fact.ends &&
+      (!block.expired || block.at >= at)) {
     return false;
   }
-  mark.ends = std::max(mark.ends, fact.ends);
-  mark.at = at;
-  mark.revision = ++m_revision;
-  mark.trials = std::max(mark.trials, fact.trials);
-  mark.lapsed = false;
-  BoundMarks();
+  block.ends = std::max(block.ends, fact.ends);
+  block.at = at;
+  block.revision = ++m_revision;
+  block.trials = std::max(block.trials, fact.trials);
+  block.expired = false;
+  BoundBlocks();
   return true;
 }
 
-bool PoisonLedger::Take(const Tried& fact, TimePoint at) {
-  const auto mark = m_marks.find(fact.digest);
-  if (mark == m_marks.end() || mark->second.trials >= fact.trials) {
+bool PoisonLedger::Apply(const TrialsSent& fact, TimePoint at) {
+  const auto block = m_blocks.find(fact.digest);
+  if (block == m_blocks.end() || block->second.trials >= fact.trials) {
     return false;
   }
-  mark->second.trials = fact.trials;
-  mark->second.tried_at = at;
-  mark->second.revision = ++m_revision;
+  block->second.trials = fact.trials;
+  block->second.tried_at = at;
+  block->second.revision = ++m_revision;
   return true;
 }
 
-bool PoisonLedger::MayTry(const RequestDigest& digest, TimePoint now) const {
-  const Mark& mark = m_marks.at(digest);
-  const auto trials = static_cast<size_t>(mark.trials);
+bool PoisonLedger::MayStartTrial(const RequestDigest& digest,
+                                 TimePoint now) const {
+  const Block& block = m_blocks.at(digest);
+  const auto trials = static_cast<size_t>(block.trials);
   if (trials >= m_policy.trial_pauses.size()) {
     return false;
   }
-  TimePoint since = std::max(mark.at, mark.tried_at);
+  TimePoint since = std::max(block.at, block.tried_at);
   const auto ends = m_ends_of.find(digest);
   if (ends != m_ends_of.end()) {
-    for (const ServerLife& server : ends->second) {
+    for (const ServerInstance& server : ends->second) {
       since = std::max(since, m_ends.at(server).at(digest).at);
     }
   }
@@ -125,10 +127,10 @@
 }
 
 void PoisonLedger::BeginTrial(const RequestDigest& digest, TimePoint now) {
-  Take(Tried{digest, m_marks.at(digest).trials + 1}, now);
+  Apply(TrialsSent{digest, m_blocks.at(digest).trials + 1}, now);
 }
 
-void PoisonLedger::EraseEnd(const ServerLife& server,
+void PoisonLedger::EraseEnd(const ServerInstance& server,
                             const RequestDigest& digest) {
   const auto ended = m_ends.find(server);
   ended->second.erase(digest);
@@ -140,45 +142,49 @@
   if (of->second.empty()) {
     m_ends_of.erase(of);
   }
-  --m_end_rows;
+  --m_end_count;
 }
 
-bool PoisonLedger::IsTold(const Suspects& suspects, TimePoint now) const {
-  const Duration settle = m_is_far ? m_policy.far_settle : m_policy.settle;
-  return std::any_of(
-      suspects.begin(), suspects.end(),
-      [settle, now](const auto& row) { return now - row.second.at >= settle; });
+bool PoisonLedger::HasSettled(const Suspects& suspects, TimePoint now) const {
+  const Duration settle_time =
+      m_is_relayed ? m_policy.relayed_settle : m_policy.settle_time;
+  return std::any_of(suspects.begin(), suspects.end(),
+                     [settle_time, now](const auto& row) {
+                       return now - row.second.at >= settle_time;
+                     });
 }
 
-int PoisonLedger::Weight(const RequestDigest& digest, TimePoint now) const {
+int PoisonLedger::TotalEvidence(const RequestDigest& digest,
+                                TimePoint now) const {
   const auto found = m_ends_of.find(digest);
   if (found == m_ends_of.end()) {
     return 0;
   }
-  int weight = 0;
-  for (const ServerLife& server : found->second) {
+  int evidence = 0;
+  for (const ServerInstance& server : found->second) {
     const Suspects& suspects = m_ends.at(server);
-    weight +=
-        IsTold(suspects, now) ? EvidenceOf(suspects.at(digest).progress) : 0;
+    evidence += HasSettled(suspects, now)
+                    ? EvidenceOf(suspects.at(digest).progress)
+                    : 0;
   }
-  return weight;
+  return evidence;
 }
 
-bool PoisonLedger::IsLaidTo(const Suspects& suspects,
-                            const RequestDigest& digest,
-                            TimePoint now) const {
-  const auto own = Weight(digest, now);
-  const bool is_marked = IsMarked(digest);
+bool PoisonLedger::IsAttributedTo(const Suspects& suspects,
+                                  const RequestDigest& digest,
+                                  TimePoint now) const {
+  const auto own_evidence = TotalEvidence(digest, now);
+  const bool is_blocked = IsBlocked(digest);
   return std::none_of(suspects.begin(), suspects.end(), [&](const auto& row) {
     const RequestDigest& other = row.first;
     if (other == digest) {
       return false;
     }
     // What is known to end servers explains an end that it was at.
-    if (IsMarked(other) != is_marked) {
-      return !is_marked;
+    if (IsBlocked(other) != is_blocked) {
+      return !is_blocked;
     }
-    return Weight(other, now) > own;
+    return TotalEvidence(other, now) > own_evidence;
   });
 }
 
@@ -194,25 +200,27 @@
   return m_policy.answering_evidence;
 }
 
-PoisonLedger::Verdict PoisonLedger::Judge(const RequestDigest& digest,
-                                          TimePoint now) const {
-  const auto mark = m_marks.find(digest);
-  const bool lapsed = mark != m_marks.end() && mark->second.lapsed;
-  Verdict verdict;
+PoisonLedger::Attribution PoisonLedger::AttributeEnds(
+    const RequestDigest& digest,
+    TimePoint now) const {
+  const auto block = m_blocks.find(digest);
+  const bool expired = block != m_blocks.end() && block->second.expired;
+  Attribution attribution;
   // One more end of any kind marks it again.
-  verdict.evidence =
-      lapsed ? m_policy.evidence_to_mark - m_policy.answering_evidence : 0;
-  for (const ServerLife& server : m_ends_of.at(digest)) {
+  attribution.evidence =
+      expired ? m_policy.evidence_to_block - m_policy.answering_evidence : 0;
+  for (const ServerInstance& server : m_ends_of.at(digest)) {
     const Suspects& suspects = m_ends.at(server);
     const End& end = suspects.at(digest);
-    if (IsTold(suspects, now) && IsLaidTo(suspects, digest, now)) {
-      verdict.first_end =
-          verdict.ends == 0 ? end.at : std::min(verdict.first_end, end.at);
-      ++verdict.ends;
-      verdict.evidence += EvidenceOf(end.progress);
+    if (HasSettled(suspects, now) && IsAttributedTo(suspects, digest, now)) {
+      attribution.first_end = attribution.ends == 0
+                                  ? end.at
+                                  : std::min(attribution.first_end, end.at);
+      ++attribution.ends;
+      attribution.evidence += EvidenceOf(end.progress);
     }
   }
-  return verdict;
+  return attribution;
 }
 
 int PoisonLedger::CountEndsOf(const RequestDigest& digest) const {
@@ -220,70 +228,71 @@
   return found == m_ends_of.end() ? 0 : static_cast<int>(found->second.size());
 }
 
-std::vector<std::string> PoisonLedger::EndsLaidTo(const RequestDigest& digest,
-                                                  TimePoint now) const {
+std::vector<std::string> PoisonLedger::EndsAttributedTo(
+    const RequestDigest& digest,
+    TimePoint now) const {
   std::vector<std::string> servers;
   const auto found = m_ends_of.find(digest);
   if (found == m_ends_of.end()) {
     return servers;
   }
-  for (const ServerLife& server : found->second) {
-    if (IsLaidTo(m_ends.at(server), digest, now)) {
+  for (const ServerInstance& server : found->second) {
+    if (IsAttributedTo(m_ends.at(server), digest, now)) {
       servers.push_back(server.id);
     }
   }
   return servers;
 }
 
-std::vector<Marked> PoisonLedger::Settle(TimePoint now) {
-  ForgetOld(now);
-  DoubtMarks(now);
-  std::vector<Marked> marked;
+std::vector<Blocked> PoisonLedger::UpdateBlocks(TimePoint now) {
+  EvictExpired(now);
+  ReviewBlocks(now);
+  std::vector<Blocked> blocked;
   std::vector<TimePoint> since;
   for (const auto& [digest, servers] : m_ends_of) {
-    const auto mark = m_marks.find(digest);
-    if (mark != m_marks.end() && !mark->second.lapsed) {
+    const auto block = m_blocks.find(digest);
+    if (block != m_blocks.end() && !block->second.expired) {
       continue;
     }
     const bool may_be =
-        mark != m_marks.end() ||
+        block != m_blocks.end() ||
         static_cast<int>(servers.size()) * m_policy.begun_evidence >=
-            m_policy.evidence_to_mark;
+            m_policy.evidence_to_block;
     if (!may_be) {
       continue;
     }
-    const Verdict verdict = Judge(digest, now);
-    if (verdict.evidence >= m_policy.evidence_to_mark) {
-      marked.push_back({digest, verdict.ends, 0});
-      since.push_back(verdict.first_end);
+    const Attribution attribution = AttributeEnds(digest, now);
+    if (attribution.evidence >= m_policy.evidence_to_block) {
+      blocked.push_back({digest, attribution.ends, 0});
+      since.push_back(attribution.first_end);
     }
   }
-  for (size_t i = 0; i < marked.size(); ++i) {
-    Take(marked[i], since[i]);
+  for (size_t i = 0; i < blocked.size(); ++i) {
+    Apply(blocked[i], since[i]);
   }
-  return marked;
+  return blocked;
 }
 
-void PoisonLedger::DoubtMarks(TimePoint now) {
-  for (auto& [digest, mark] : m_marks) {
+void PoisonLedger::ReviewBlocks(TimePoint now) {
+  for (auto& [digest, block] : m_blocks) {
     const auto ends = m_ends_of.find(digest);
     // Of an old mark the ends are forgotten, and nothing speaks against it.
     const bool has_ends = ends != m_ends_of.end() &&
-                          static_cast<int>(ends->second.size()) >= mark.ends;
-    mark.doubted = has_ends &&
-                   UnexplainedEvidence(digest, now) < m_policy.evidence_to_mark;
+                          static_cast<int>(ends->second.size()) >= block.ends;
+    block.explained = has_ends && UnexplainedEvidence(digest, now) <
+                                      m_policy.evidence_to_block;
   }
 }
 
 int PoisonLedger::UnexplainedEvidence(const RequestDigest& digest,
                                       TimePoint now) const {
-  const int own = Weight(digest, now);
+  const int own_evidence = TotalEvidence(digest, now);
   const auto explains = [&](const auto& row) {
-    return row.first != digest && m_marks.contains(row.first) &&
-           Weight(row.first, now) > own;
+    return row.first != digest && m_blocks.contains(row.first) &&
+           TotalEvidence(row.first, now) > own_evidence;
   };
   int evidence = 0;
-  for (const ServerLife& server : m_ends_of.at(digest)) {
+  for (const ServerInstance& server : m_ends_of.at(digest)) {
     const Suspects& suspects = m_ends.at(server);
     const End& end = suspects.at(digest);
     if (std::none_of(suspects.begin(), suspects.end(), explains)) {
@@ -293,26 +302,27 @@
   return evidence;
 }
 
-bool PoisonLedger::IsMarked(const RequestDigest& digest) const {
-  const auto found = m_marks.find(digest);
-  return found != m_marks.end() && found->second.IsInForce();
+bool PoisonLedger::IsBlocked(const RequestDigest& digest) const {
+  const auto found = m_blocks.find(digest);
+  return found != m_blocks.end() && found->second.IsActive();
 }
 
 bool PoisonLedger::IsSuspect(const RequestDigest& digest) const {
-  return m_ends_of.contains(digest) || m_marks.contains(digest);
+  return m_ends_of.contains(digest) || m_blocks.contains(digest);
 }
 
-std::vector<Marked> PoisonLedger::Marks() const {
-  std::vector<Marked> marks;
-  for (const auto& [digest, mark] : m_marks) {
-    if (mark.IsInForce()) {
-      marks.push_back({digest, mark.ends, mark.trials});
+std::vector<Blocked> PoisonLedger::ActiveBlocks() const {
+  std::vector<Blocked> blocks;
+  for (const auto& [digest, block] : m_blocks) {
+    if (block.IsActive()) {
+      blocks.push_back({digest, block.ends, block.trials});
     }
   }
-  return marks;
+  return blocks;
 }
 
-std::optional<TimePoint> PoisonLedger::EndedAt(const ServerLife& server) const {
+std::optional<TimePoint> PoisonLedger::EndedAt(
+    const ServerInstance& server) const {
   const auto found = m_ends.find(server);
   if (found == m_ends.end()) {
     return std::nullopt;
@@ -324,75 +334,75 @@
   return first;
 }
 
-void PoisonLedger::ForgetOld(TimePoint now) {
-  const auto is_old = [this, now](TimePoint at) {
-    return now - at > m_policy.fact_life;
+void PoisonLedger::EvictExpired(TimePoint now) {
+  const auto is_expired = [this, now](TimePoint at) {
+    return now - at > m_policy.fact_ttl;
   };
-  std::vector<std::pair<ServerLife, RequestDigest>> old;
+  std::vector<std::pair<ServerInstance, RequestDigest>> expired_ends;
   for (const auto& [server, suspects] : m_ends) {
     for (const auto& [digest, end] : suspects) {
-      if (is_old(end.at)) {
-        old.emplace_back(server, digest);
+      if (is_expired(end.at)) {
+        expired_ends.emplace_back(server, digest);
       }
     }
   }
-  for (const auto& [server, digest] : old) {
+  for (const auto& [server, digest] : expired_ends) {
     EraseEnd(server, digest);
   }
   std::erase_if(m_alive,
-                [&](const auto& row) { return is_old(row.second.at); });
+                [&](const auto& row) { return is_expired(row.second.at); });
   std::erase_if(m_cleared,
-                [&](const auto& row) { return is_old(row.second.at); });
-  for (auto& [digest, mark] : m_marks) {
-    mark.lapsed = mark.lapsed || now - mark.at > m_policy.mark_life;
+                [&](const auto& row) { return is_expired(row.second.at); });
+  for (auto& [digest, block] : m_blocks) {
+    block.expired = block.expired || now - block.at > m_policy.block_ttl;
   }
 }
 
 void PoisonLedger::BoundEnds() {
-  if (m_end_rows <= m_policy.most_ends) {
+  if (m_end_count <= m_policy.max_ends) {
     return;
   }
   // Of the least suspected ones the oldest.
-  const ServerLife* server_out = nullptr;
+  const ServerInstance* server_out = nullptr;
   const RequestDigest* digest_out = nullptr;
-  std::pair<size_t, TimePoint> least;
+  std::pair<size_t, TimePoint> lowest;
   for (const auto& [server, suspects] : m_ends) {
     for (const auto& [digest, end] : suspects) {
       const std::pair<size_t, TimePoint> rank(m_ends_of.at(digest).size(),
                                               end.at);
-      if (digest_out == nullptr || rank < least) {
+      if (digest_out == nullptr || rank < lowest) {
         server_out = &server;
         digest_out = &digest;
-        least = rank;
+        lowest = rank;
       }
     }
   }
-  EraseEnd(ServerLife(*server_out), RequestDigest(*digest_out));
+  EraseEnd(ServerInstance(*server_out), RequestDigest(*digest_out));
 }
 
-void PoisonLedger::BoundMarks() {
-  if (m_marks.size() <= m_policy.most_marks) {
+void PoisonLedger::BoundBlocks() {
+  if (m_blocks.size() <= m_policy.max_blocks) {
     return;
   }
-  m_marks.erase(std::min_element(m_marks.begin(), m_marks.end(),
-                                 [](const auto& left, const auto& right) {
-                                   return left.second.at < right.second.at;
-                                 }));
+  m_blocks.erase(std::min_element(m_blocks.begin(), m_blocks.end(),
+                                  [](const auto& left, const auto& right) {
+                                    return left.second.at < right.second.at;
+                                  }));
 }
 
-template <typename Words>
-void PoisonLedger::BoundWords(Words& words) const {
-  if (words.size() <= m_policy.most_words) {
+template <typename Records>
+void PoisonLedger::BoundRecords(Records& records) const {
+  if (records.size() <= m_policy.max_records) {
     return;
   }
-  words.erase(std::min_element(words.begin(), words.end(),
-                               [](const auto& left, const auto& right) {
-                                 return left.second.at < right.second.at;
-                               }));
+  records.erase(std::min_element(records.begin(), records.end(),
+                                 [](const auto& left, const auto& right) {
+                                   return left.second.at < right.second.at;
+                                 }));
 }
 
-std::vector<PoisonLedger::Row> PoisonLedger::RowsAfter(uint64_t revision,
-                                                       TimePoint now) const {
+std::vector<PoisonLedger::Row> PoisonLedger::FactsAfter(uint64_t revision,
+                                                        TimePoint now) const {
   std::vector<Row> rows;
   const auto add = [&rows, now](uint64_t row, PoisonFact fact, TimePoint at) {
     rows.push_back({row, {std::move(fact), std::max(Duration(0), now - at)}});
@@ -402,7 +412,8 @@
   for (const auto& [server, suspects] : m_ends) {
     for (const auto& [digest, end] : suspects) {
       if (end.revision > revision) {
-        add(end.revision, EndedUnder{server, digest, end.progress}, end.at);
+        add(end.revision, EndedDuringRequest{server, digest, end.progress},
+            end.at);
       }
     }
   }
@@ -416,13 +427,13 @@
       add(stamp.revision, Cleared{digest}, stamp.at);
     }
   }
-  for (const auto& [digest, mark] : m_marks) {
-    if (mark.lapsed || mark.revision <= revision) {
+  for (const auto& [digest, block] : m_blocks) {
+    if (block.expired || block.revision <= revision) {
       continue;
     }
-    add(mark.revision, Marked{digest, mark.ends, 0}, mark.at);
-    if (mark.trials > 0) {
-      add(mark.revision, Tried{digest, mark.trials}, mark.tried_at);
+    add(block.revision, Blocked{digest, block.ends, 0}, block.at);
+    if (block.trials > 0) {
+      add(block.revision, TrialsSent{digest, block.trials}, block.tried_at);
     }
   }
   // A mark stands before its trials, which have its revision.
@@ -433,21 +444,21 @@
   return rows;
 }
 
-PoisonNews PoisonLedger::Since(uint64_t known, TimePoint now) const {
-  PoisonNews news{m_revision, {}};
+PoisonUpdate PoisonLedger::Since(uint64_t known, TimePoint now) const {
+  PoisonUpdate update{m_revision, {}};
   if (known == m_revision) {
-    return news;
+    return update;
   }
-  std::vector<Row> rows = RowsAfter(known > m_revision ? 0 : known, now);
-  if (rows.size() > m_policy.most_told) {
-    rows.resize(m_policy.most_told);
+  std::vector<Row> rows = FactsAfter(known > m_revision ? 0 : known, now);
+  if (rows.size() > m_policy.max_records_per_message) {
+    rows.resize(m_policy.max_records_per_message);
     // The next part begins with what may have the same revision.
-    news.revision = rows.back().revision - 1;
+    update.revision = rows.back().revision - 1;
   }
   for (Row& row : rows) {
-    news.facts.push_back(std::move(row.timed));
+    update.facts.push_back(std::move(row.timed));
   }
-  return news;
+  return update;
 }
 
 }  // namespace filbertrack
--- a/source/replica_demand.cc
+++ b/source/replica_demand.cc
@@ -7,44 +7,44 @@
 
 namespace filbertrack {
 
-void ReplicaPass::NotePressure() {
-  const double passed = ToSeconds(m_now - m_memory.pressure_at);
-  const double kept = std::exp(-passed / ToSeconds(m_policy.pressure_window));
+void ReplicaPass::UpdatePressure() {
+  const double elapsed = ToSeconds(m_now - m_memory.pressure_at);
+  const double decay = std::exp(-elapsed / ToSeconds(m_policy.pressure_window));
   m_memory.pressure_at = m_now;
   if (m_input.before_traffic) {
     return;
   }
   for (const auto& [model, pressure] : m_input.pressure) {
     const auto [row, first] = m_memory.pressure.try_emplace(model, pressure);
-    row->second = kept * row->second + (1 - kept) * pressure;
+    row->second = decay * row->second + (1 - decay) * pressure;
   }
 }
 
 void ReplicaPass::AdaptShares() {
-  std::map<std::string_view, double> asked;
-  double all_asked = 0;
-  double all_shares = 0;
+  std::map<std::string_view, double> demand;
+  double total_demand = 0;
+  double total_share = 0;
   for (const ModelProfile& model : m_engine.models) {
     const auto pressure = m_memory.pressure.find(model.name);
-    const auto whole = m_whole.find(model.name);
-    if (pressure == m_memory.pressure.end() || whole == m_whole.end() ||
-        whole->second <= 0) {
+    const auto found = m_group_counts.find(model.name);
+    if (pressure == m_memory.pressure.end() || found == m_group_counts.end() ||
+        found->second <= 0) {
       // Nothing can be said of a model that no group serves.
       return;
     }
-    const double hosts = whole->second * model.members * pressure->second;
-    asked[model.name] = hosts;
-    all_asked += hosts;
-    all_shares += model.share;
+    const double hosts = found->second * model.members * pressure->second;
+    demand[model.name] = hosts;
+    total_demand += hosts;
+    total_share += model.share;
   }
-  if (all_asked <= 0 || all_shares <= 0) {
+  if (total_demand <= 0 || total_share <= 0) {
     return;
   }
   for (ModelProfile& model : m_engine.models) {
-    const double share = model.share / all_shares;
-    model.share = std::clamp(asked[model.name] / all_asked,
-                             share / m_policy.most_share_change,
-                             share * m_policy.most_share_change);
+    const double share = model.share / total_share;
+    model.share = std::clamp(demand[model.name] / total_demand,
+                             share / m_policy.max_share_change,
+                             share * m_policy.max_share_change);
   }
 }
 
--- a/source/replica_form.cc
+++ b/source/replica_form.cc
@@ -10,17 +10,18 @@
 
 /// Weight of a domain's present groups against its free hosts: more than a
 /// domain has hosts, so that it decides.
-constexpr double kTogether = 1000;
+constexpr double kColocationWeight = 1000;
 
 }  // namespace
 
 bool ReplicaPass::IsFree(const BackendServer& server) const {
   return server.service == m_input.service.name && IsUsable(&server) &&
          !IsBusy(server.id) && !IsQuarantined(server.id) &&
-         (!server.membership || m_freed.contains(server.id));
+         (!server.membership || m_released.contains(server.id));
 }
 
-bool ReplicaPass::IsHot(const BackendServer& server, std::string_view model) {
+bool ReplicaPass::HasModelInMemory(const BackendServer& server,
+                                   std::string_view model) {
   return server.model == model &&
          (!server.membership ||
           server.membership->state != MembershipState::kJoining);
@@ -42,7 +43,7 @@
       domain.free.push_back(&server);
     }
   }
-  for (const auto& [domain, models] : m_whole_in) {
+  for (const auto& [domain, models] : m_group_counts_in) {
     for (const auto& [model, count] : models) {
       m_domains[domain].groups[model] += count;
     }
@@ -51,14 +52,15 @@
 
 void ReplicaPass::FormGroups() {
   ReadDomains();
-  m_wanted = WantedReplicas(m_engine, std::max(0, m_usable - CountReserve()));
+  m_wanted =
+      WantedReplicas(m_engine, std::max(0, m_usable - CountReservedHosts()));
   while (FormOne()) {
   }
   while (FormExtra()) {
   }
 }
 
-int ReplicaPass::CountReserve() const {
+int ReplicaPass::CountReservedHosts() const {
   const auto wanted = WantedReplicas(m_engine, m_usable);
   const int domains = std::max(1, static_cast<int>(m_domains.size()));
   const int room = std::max(1, m_usable / domains - m_policy.spares_per_domain);
@@ -74,13 +76,13 @@
 
 double ReplicaPass::Shortage(const ModelProfile& model) const {
   const auto wanted = m_wanted.find(model.name);
-  const auto whole = m_whole.find(model.name);
+  const auto found = m_group_counts.find(model.name);
   const double want = wanted == m_wanted.end() ? 0 : wanted->second;
-  const double have = whole == m_whole.end() ? 0 : whole->second;
+  const double have = found == m_group_counts.end() ? 0 : found->second;
   return want <= 0 ? 0 : (want - have) / want;
 }
 
-std::vector<const ModelProfile*> ReplicaPass::ByShortage() const {
+std::vector<const ModelProfile*> ReplicaPass::ModelsByShortage() const {
   std::vector<const ModelProfile*> models;
   for (const ModelProfile& model : m_engine.models) {
     if (Shortage(model) > 0) {
@@ -94,7 +96,7 @@
   return models;
 }
 
-std::vector<ReplicaPass::Domain*> ReplicaPass::BySuitability(
+std::vector<ReplicaPass::Domain*> ReplicaPass::DomainsBySuitability(
     const ModelProfile& model) {
   std::vector<std::pair<double, Domain*>> scored;
   for (auto& [name, domain] : m_domains) {
@@ -104,8 +106,8 @@
       (group_model == model.name ? own : other) += count;
     }
     const double score = static_cast<double>(domain.free.size()) +
-                         kTogether * (own > 0 ? 1 : 0) -
-                         kTogether * (other > 0 ? 1 : 0);
+                         kColocationWeight * (own > 0 ? 1 : 0) -
+                         kColocationWeight * (other > 0 ? 1 : 0);
     scored.emplace_back(score, &domain);
   }
   std::stable_sort(scored.begin(), scored.end(),
@@ -121,8 +123,8 @@
 }
 
 bool ReplicaPass::FormOne() {
-  for (const ModelProfile* model : ByShortage()) {
-    const std::vector<Domain*> domains = BySuitability(*model);
+  for (const ModelProfile* model : ModelsByShortage()) {
+    const std::vector<Domain*> domains = DomainsBySuitability(*model);
     for (Domain* domain : domains) {
       if (FormWarm(*domain, *model)) {
         return true;
@@ -143,11 +145,11 @@
   return false;
 }
 
-std::vector<const ModelProfile*> ReplicaPass::ByFill() const {
+std::vector<const ModelProfile*> ReplicaPass::ModelsByHostsPerShare() const {
   std::vector<std::pair<double, const ModelProfile*>> filled;
   for (const ModelProfile& model : m_engine.models) {
-    const auto whole = m_whole.find(model.name);
-    const int groups = whole == m_whole.end() ? 0 : whole->second;
+    const auto found = m_group_counts.find(model.name);
+    const int groups = found == m_group_counts.end() ? 0 : found->second;
     const int hosts = groups * model.members + CountSpares(model);
     filled.emplace_back(hosts / std::max(model.share, 1e-9), &model);
   }
@@ -175,7 +177,7 @@
   return m_policy.spares_per_domain * static_cast<int>(holding);
 }
 
-bool ReplicaPass::HoldsLarge(const Domain& domain) const {
+bool ReplicaPass::HasLargeGroup(const Domain& domain) const {
   return std::any_of(
       domain.groups.begin(), domain.groups.end(), [this](const auto& row) {
         const ModelProfile* model = m_engine.FindModel(row.first);
@@ -185,14 +187,14 @@
 
 bool ReplicaPass::FormExtra() {
   const auto spares = static_cast<size_t>(m_policy.spares_per_domain);
-  for (const ModelProfile* model : ByFill()) {
+  for (const ModelProfile* model : ModelsByHostsPerShare()) {
     const auto size = static_cast<size_t>(model->members);
     for (auto& [name, domain] : m_domains) {
       // Hosts that have the model and are enough for a group serve it.
       if (FormWarm(domain, *model)) {
         return true;
       }
-      const bool has_large = IsLarge(*model) || HoldsLarge(domain);
+      const bool has_large = IsLarge(*model) || HasLargeGroup(domain);
       const bool has_room =
           domain.free.size() >= size + (has_large ? spares : 0);
       if (m_input.before_traffic && has_room && FormCold(domain, *model)) {
@@ -215,9 +217,10 @@
     return false;
   }
   // Those that have the model in memory are ready soonest.
-  std::stable_partition(
-      chosen.begin(), chosen.end(),
-      [&model](const BackendServer* host) { return IsHot(*host, model.name); });
+  std::stable_partition(chosen.begin(), chosen.end(),
+                        [&model](const BackendServer* host) {
+                          return HasModelInMemory(*host, model.name);
+                        });
   chosen.resize(size);
   Join(domain, model, chosen);
   return true;
@@ -248,7 +251,7 @@
 }
 
 uint64_t ReplicaPass::NextEpoch() {
-  return m_memory.term * kEpochsPerTerm + ++m_memory.last_number;
+  return m_memory.term * kEpochsPerTerm + ++m_memory.last_epoch_number;
 }
 
 void ReplicaPass::Join(Domain& domain,
@@ -261,16 +264,16 @@
   for (const BackendServer* host : chosen) {
     join.members.push_back(host->id);
     m_memory.ordered_epoch[host->id] = join.epoch;
-    Occupy(host->id);
+    MarkBusy(host->id);
     if (!IsWarm(*host, model.name)) {
-      NoteLoad(host->id, model.name);
+      RecordLoad(host->id, model.name);
     }
     std::erase(domain.free, host);
   }
-  m_whole[model.name] += 1;
+  m_group_counts[model.name] += 1;
   domain.groups[model.name] += 1;
-  m_memory.joins[join.group] = {join, m_now};
-  Give(std::move(join), "a replica is missing");
+  m_memory.pending_joins[join.group] = {join, m_now};
+  AddOrder(std::move(join), "a replica is missing");
 }
 
 }  // namespace filbertrack
--- a/source/replica_pass.h
+++ b/source/replica_pass.h
@@ -17,10 +17,10 @@
 /// Epochs of one term; a term gives fewer orders than this.
 inline constexpr uint64_t kEpochsPerTerm = 100000;
 /// Members up to which a broken group strands too little to keep spares for.
-inline constexpr int kSmallGroup = 2;
+inline constexpr int kMaxSmallGroupSize = 2;
 
 inline bool IsLarge(const ModelProfile& model) {
-  return model.members > kSmallGroup;
+  return model.members > kMaxSmallGroupSize;
 }
 
 /// One pass over one service. Each step adds orders; hosts that got one in this
@@ -49,7 +49,7 @@
   bool IsSettling() const;
 
   /// Tells a group and epoch from all others.
-  static std::string Key(const ReplicaView& replica);
+  static std::string GroupEpochKey(const ReplicaView& replica);
 
   // What is known of a host.
 
@@ -68,7 +68,8 @@
   bool CannotReopen(const Departure& departure) const;
 
   /// Orders to open the group of which one may still arrive; null: none.
-  const OpenOrders* FindOpens(std::string_view group, uint64_t epoch) const;
+  const OpenOrders* FindOpenOrders(std::string_view group,
+                                   uint64_t epoch) const;
 
   static bool HasStaged(const BackendServer& server, std::string_view model);
 
@@ -78,22 +79,22 @@
 
   // Bookkeeping.
 
-  void Give(ReplicaOrder order, std::string reason);
+  void AddOrder(ReplicaOrder order, std::string reason);
 
-  void Occupy(const std::string& host);
+  void MarkBusy(const std::string& host);
 
-  void ForgetOld();
+  void PruneMemory();
 
   /// What was given to the earlier life of a host that started again. The
   /// epochs that it was ordered to join stay: those orders may still arrive.
-  void ForgetEarlierLives();
+  void ForgetEarlierInstances();
 
-  Duration LoadPatience() const;
+  Duration LoadTimeout() const;
 
   // What is asked of the models.
 
   /// Brings the smoothed pressures up to date.
-  void NotePressure();
+  void UpdatePressure();
 
   /// Sets the models' shares by the work that is asked of them now. The shares
   /// of the configuration are those at the start; when the mix of requests
@@ -102,10 +103,10 @@
 
   // Groups that are there.
 
-  void TendReplica(const ReplicaView& replica);
+  void ReconcileReplica(const ReplicaView& replica);
 
   /// A host that stands by is free for any group.
-  void TendStandby(const ReplicaView& replica);
+  void ReconcileStandby(const ReplicaView& replica);
 
   /// Some members have not begun to join yet; their orders may be on the way.
   bool IsForming(const ReplicaView& replica);
@@ -113,22 +114,22 @@
   /// Orders the members that have not begun to join once more, but for the
   /// head: a second order to it could arrive after it left, and bring it back
   /// to where an order to open that went astray opens it without its members.
-  void RepeatJoin(GivenJoin& given);
+  void RetryJoin(PendingJoin& join);
 
-  void TendWhole(const ReplicaView& replica,
-                 const ModelProfile& model,
-                 bool joining);
+  void ReconcileComplete(const ReplicaView& replica,
+                         const ModelProfile& model,
+                         bool joining);
 
   /// A member was ordered to join another group since, or an earlier controller
   /// may have ordered it. That order could arrive after this group was opened
   /// and take the member out of it.
   bool IsSuperseded(const ReplicaView& replica) const;
 
-  void GiveUpSlowJoin(const ReplicaView& replica, const ModelProfile& model);
+  void AbandonSlowJoin(const ReplicaView& replica, const ModelProfile& model);
 
-  void CountWhole(const ReplicaView& replica,
-                  const ModelProfile& model,
-                  int change);
+  void AdjustGroupCount(const ReplicaView& replica,
+                        const ModelProfile& model,
+                        int change);
 
   /// Takes a group apart. Its hosts become free only once its head cannot run
   /// requests any more: it closed, it broke, or it is gone.
@@ -142,22 +143,23 @@
   /// Orders to a head that does not reach the store may reach it all the same:
   /// first to end its requests, then to leave, which frees its members seconds
   /// before the stall would. False once it had time for both.
-  bool AskLapsedHead(const ReplicaView& replica);
+  bool OrderUnregisteredHead(const ReplicaView& replica);
 
   /// Lets the members join other groups. The head leaves first: it may have
   /// opened since its last report, and an order to open it that went astray
   /// could still arrive; a member that joined another group by then would be
   /// in two. Without the old membership the head does nothing for it.
-  void Free(const ReplicaView& replica);
+  void Disband(const ReplicaView& replica);
 
-  void FreeMembers(const ReplicaView& replica);
+  void ReleaseMembers(const ReplicaView& replica);
 
   // New groups.
 
   bool IsFree(const BackendServer& server) const;
 
   /// It has the model in memory and is not busy to get there.
-  static bool IsHot(const BackendServer& server, std::string_view model);
+  static bool HasModelInMemory(const BackendServer& server,
+                               std::string_view model);
 
   /// Whether the host can join a group of the model without a load.
   static bool IsWarm(const BackendServer& server, std::string_view model);
@@ -174,18 +176,18 @@
   void FormGroups();
 
   /// Hosts that domains with large groups keep as spares.
-  int CountReserve() const;
+  int CountReservedHosts() const;
 
   /// How much of what is wanted of a model is missing; the larger, the more
   /// urgent.
   double Shortage(const ModelProfile& model) const;
 
-  std::vector<const ModelProfile*> ByShortage() const;
+  std::vector<const ModelProfile*> ModelsByShortage() const;
 
   /// Domains in the order in which they suit a new group of the model. Groups
   /// of one large model stand together: a host that is free there can stand in
   /// for any of their members, and what is left of two broken groups makes one.
-  std::vector<Domain*> BySuitability(const ModelProfile& model);
+  std::vector<Domain*> DomainsBySuitability(const ModelProfile& model);
 
   bool FormOne();
 
@@ -193,9 +195,9 @@
   int CountSpares(const ModelProfile& model) const;
 
   /// Models by their hosts for their share, spares included, the least first.
-  std::vector<const ModelProfile*> ByFill() const;
+  std::vector<const ModelProfile*> ModelsByHostsPerShare() const;
 
-  bool HoldsLarge(const Domain& domain) const;
+  bool HasLargeGroup(const Domain& domain) const;
 
   /// A group beyond those that are wanted, from hosts that would stand idle:
   /// spares help only beside groups that are large, where one lost member costs
@@ -220,10 +222,10 @@
 
   bool MayLoad(size_t count) const;
 
-  void NoteLoad(const std::string& host, const std::string& model);
+  void RecordLoad(const std::string& host, const std::string& model);
 
   /// Hosts of the domain that have the model's weights, or will, and are free.
-  size_t StandingBy(const Domain& domain, const ModelProfile& model) const;
+  size_t CountStandby(const Domain& domain, const ModelProfile& model) const;
 
   const BackendServer* FindEmpty(const Domain& domain) const;
 
@@ -265,14 +267,15 @@
   std::vector<ReplicaView> m_replicas;
   std::vector<PlannedOrder> m_orders;
   /// Groups that serve or will, by model.
-  std::map<std::string, int, std::less<>> m_whole;
+  std::map<std::string, int, std::less<>> m_group_counts;
   /// The same by domain.
-  std::map<std::string, std::map<std::string, int, std::less<>>> m_whole_in;
+  std::map<std::string, std::map<std::string, int, std::less<>>>
+      m_group_counts_in;
   std::map<std::string, Domain> m_domains;
   int m_usable = 0;
   std::map<std::string, int, std::less<>> m_wanted;
   /// Members of groups that cannot run requests any more.
-  std::set<std::string, std::less<>> m_freed;
+  std::set<std::string, std::less<>> m_released;
 };
 
 }  // namespace filbertrack
--- a/source/replica_plan.cc
+++ b/source/replica_plan.cc
@@ -7,16 +7,16 @@
 namespace {
 
 /// What an order means for the joins of its group.
-struct NoteForJoins {
-  std::map<std::string, GivenJoin, std::less<>>& joins;
+struct PendingJoinUpdate {
+  std::map<std::string, PendingJoin, std::less<>>& joins;
 
   void operator()(const OpenGroup& order) const { joins.erase(order.group); }
-  void operator()(const CloseGroup& order) const { GiveUp(order.group); }
-  void operator()(const LeaveGroup& order) const { GiveUp(order.group); }
+  void operator()(const CloseGroup& order) const { Abandon(order.group); }
+  void operator()(const LeaveGroup& order) const { Abandon(order.group); }
   void operator()(const JoinGroup&) const {}
   void operator()(const StageModel&) const {}
 
-  void GiveUp(const std::string& group) const {
+  void Abandon(const std::string& group) const {
     const auto found = joins.find(group);
     if (found != joins.end()) {
       found->second.wanted = false;
@@ -26,22 +26,22 @@
 
 }  // namespace
 
-std::string ReplicaPass::Key(const ReplicaView& replica) {
+std::string ReplicaPass::GroupEpochKey(const ReplicaView& replica) {
   return replica.group + "#" + std::to_string(replica.epoch);
 }
 
 std::vector<PlannedOrder> ReplicaPass::Run() {
-  if (!m_memory.began) {
-    m_memory.began = m_now;
+  if (!m_memory.term_start) {
+    m_memory.term_start = m_now;
   }
-  ForgetOld();
+  PruneMemory();
   if (IsSettling()) {
     return {};
   }
   for (const ReplicaView& replica : m_replicas) {
-    TendReplica(replica);
+    ReconcileReplica(replica);
   }
-  NotePressure();
+  UpdatePressure();
   if (m_policy.follows_demand) {
     AdaptShares();
   }
@@ -63,13 +63,15 @@
 }
 
 HostHealth ReplicaPass::Health(const BackendServer& server) const {
-  const auto found = m_input.findings.find(server.id);
-  if (found == m_input.findings.end() ||
-      IsLaterLife(server.born_ms, found->second.born_ms)) {
+  const auto found = m_input.probe_results.find(server.id);
+  if (found == m_input.probe_results.end() ||
+      IsNewerInstance(server.process_start_ms,
+                      found->second.process_start_ms)) {
     return HostHealth::kAnswers;
   }
   // The process that registered has ended; the registration is not renewed yet.
-  return IsLaterLife(found->second.born_ms, server.born_ms)
+  return IsNewerInstance(found->second.process_start_ms,
+                         server.process_start_ms)
              ? HostHealth::kGone
              : found->second.health;
 }
@@ -85,8 +87,8 @@
 }
 
 bool ReplicaPass::IsBusy(const std::string& host) const {
-  const auto found = m_memory.given.find(host);
-  if (found == m_memory.given.end() ||
+  const auto found = m_memory.recent_orders.find(host);
+  if (found == m_memory.recent_orders.end() ||
       m_now - found->second.at >= m_policy.order_retry) {
     return false;
   }
@@ -99,8 +101,8 @@
   if (departure == nullptr) {
     return false;
   }
-  const auto joins = m_memory.joins.find(departure->group);
-  if (joins != m_memory.joins.end() &&
+  const auto joins = m_memory.pending_joins.find(departure->group);
+  if (joins != m_memory.pending_joins.end() &&
       joins->second.order.epoch == departure->epoch) {
     // Nobody ordered the group to open.
     return false;
@@ -109,35 +111,36 @@
   if (departure->group.empty() || CannotReopen(*departure)) {
     // The head stands still since its member left, or since it opened after
     // that, and breaks after the stall.
-    const OpenOrders* opens = FindOpens(departure->group, departure->epoch);
+    const OpenOrders* opens =
+        FindOpenOrders(departure->group, departure->epoch);
     const TimePoint opened_by = opens == nullptr
                                     ? departure->left_at
                                     : opens->last_sent + m_policy.order_retry;
     return m_now - std::max(departure->left_at, opened_by) < stall;
   }
-  return m_input.directory.IsHeld(host, stall + m_policy.order_life, m_now);
+  return m_input.directory.IsHeld(host, stall + m_policy.order_ttl, m_now);
 }
 
-const OpenOrders* ReplicaPass::FindOpens(std::string_view group,
-                                         uint64_t epoch) const {
-  const auto found = m_memory.opens.find(group);
+const OpenOrders* ReplicaPass::FindOpenOrders(std::string_view group,
+                                              uint64_t epoch) const {
+  const auto found = m_memory.open_orders.find(group);
   const bool is_of =
-      found != m_memory.opens.end() && found->second.epoch == epoch;
+      found != m_memory.open_orders.end() && found->second.epoch == epoch;
   return is_of ? &found->second : nullptr;
 }
 
 bool ReplicaPass::CannotReopen(const Departure& departure) const {
   if (departure.epoch / kEpochsPerTerm == m_memory.term) {
-    const OpenOrders* opens = FindOpens(departure.group, departure.epoch);
+    const OpenOrders* opens = FindOpenOrders(departure.group, departure.epoch);
     return opens == nullptr || opens->unanswered == 0;
   }
-  if (m_now - m_memory.began.value_or(m_now) >= m_policy.order_life) {
+  if (m_now - m_memory.term_start.value_or(m_now) >= m_policy.order_ttl) {
     return true;
   }
   // An earlier controller ordered it to open no later than it was seen open.
   const auto open_since =
       m_input.directory.OpenSince(departure.group, departure.epoch);
-  return open_since && departure.left_at - *open_since >= m_policy.order_life;
+  return open_since && departure.left_at - *open_since >= m_policy.order_ttl;
 }
 
 bool ReplicaPass::HasStaged(const BackendServer& server,
@@ -150,39 +153,39 @@
   if (m_memory.loading.contains(server.id)) {
     return true;
   }
-  const auto found = m_input.findings.find(server.id);
-  return found != m_input.findings.end() && found->second.busy &&
+  const auto found = m_input.probe_results.find(server.id);
+  return found != m_input.probe_results.end() && found->second.busy &&
          server.staged.empty();
 }
 
-void ReplicaPass::Give(ReplicaOrder order, std::string reason) {
-  std::visit(NoteForJoins{m_memory.joins}, order);
+void ReplicaPass::AddOrder(ReplicaOrder order, std::string reason) {
+  std::visit(PendingJoinUpdate{m_memory.pending_joins}, order);
   m_orders.push_back({std::move(order), std::move(reason), {}});
 }
 
-void ReplicaPass::Occupy(const std::string& host) {
+void ReplicaPass::MarkBusy(const std::string& host) {
   const BackendServer* server = m_input.directory.Find(host);
-  m_memory.given[host] = {
+  m_memory.recent_orders[host] = {
       m_now, server == nullptr ? std::nullopt : server->membership};
 }
 
-void ReplicaPass::ForgetEarlierLives() {
+void ReplicaPass::ForgetEarlierInstances() {
   for (const auto& [id, server] : m_input.directory.servers()) {
-    uint64_t& known = m_memory.lives[id];
-    if (IsLaterLife(server.born_ms, known)) {
-      m_memory.given.erase(id);
+    uint64_t& known = m_memory.process_starts[id];
+    if (IsNewerInstance(server.process_start_ms, known)) {
+      m_memory.recent_orders.erase(id);
       m_memory.loading.erase(id);
     }
-    known = server.born_ms;
+    known = server.process_start_ms;
   }
-  std::erase_if(m_memory.lives, [this](const auto& row) {
+  std::erase_if(m_memory.process_starts, [this](const auto& row) {
     return m_input.directory.FindLast(row.first) == nullptr;
   });
 }
 
-void ReplicaPass::ForgetOld() {
-  ForgetEarlierLives();
-  std::erase_if(m_memory.given, [this](const auto& entry) {
+void ReplicaPass::PruneMemory() {
+  ForgetEarlierInstances();
+  std::erase_if(m_memory.recent_orders, [this](const auto& entry) {
     return m_now - entry.second.at > m_policy.order_retry;
   });
   while (!m_memory.load_starts.empty() &&
@@ -193,25 +196,25 @@
     const BackendServer* server = m_input.directory.Find(entry.first);
     const bool done =
         server == nullptr || HasStaged(*server, entry.second.model);
-    return done || m_now - entry.second.at > LoadPatience();
+    return done || m_now - entry.second.at > LoadTimeout();
   });
   // Nothing that was sent before it is under way any more, and what the head
   // had stands still and has broken.
   const Duration settled =
-      m_policy.order_life + m_policy.stall + m_policy.stall_margin;
-  std::erase_if(m_memory.opens, [this, settled](const auto& entry) {
+      m_policy.order_ttl + m_policy.stall + m_policy.stall_margin;
+  std::erase_if(m_memory.open_orders, [this, settled](const auto& entry) {
     return m_now - entry.second.last_sent > settled;
   });
-  std::erase_if(m_memory.joins, [this](const auto& entry) {
+  std::erase_if(m_memory.pending_joins, [this](const auto& entry) {
     return m_now - entry.second.last_sent >
-           m_policy.order_life + m_policy.stall + m_policy.stall_margin;
+           m_policy.order_ttl + m_policy.stall + m_policy.stall_margin;
   });
   std::erase_if(m_memory.ordered_epoch, [this](const auto& entry) {
     return m_input.directory.Find(entry.first) == nullptr;
   });
   std::set<std::string, std::less<>> present;
   for (const ReplicaView& replica : m_replicas) {
-    present.insert(Key(replica));
+    present.insert(GroupEpochKey(replica));
   }
   std::erase_if(m_memory.headless_since, [&present](const auto& entry) {
     return !present.contains(entry.first);
@@ -221,7 +224,7 @@
   });
 }
 
-Duration ReplicaPass::LoadPatience() const {
+Duration ReplicaPass::LoadTimeout() const {
   Duration longest{0};
   for (const ModelProfile& model : m_engine.models) {
     longest = std::max(longest, model.load);
@@ -239,13 +242,13 @@
   return ReplicaPass(input, policy, memory, now).Run();
 }
 
-void NoteOrderAnswered(const ReplicaOrder& order, ReplicaMemory& memory) {
+void OnOrderAnswered(const ReplicaOrder& order, ReplicaMemory& memory) {
   const auto* open = std::get_if<OpenGroup>(&order);
   if (open == nullptr) {
     return;
   }
-  const auto found = memory.opens.find(open->group);
-  if (found != memory.opens.end() && found->second.epoch == open->epoch) {
+  const auto found = memory.open_orders.find(open->group);
+  if (found != memory.open_orders.end() && found->second.epoch == open->epoch) {
     found->second.unanswered = std::max(0, found->second.unanswered - 1);
   }
 }
--- a/source/replica_reconcile.cc
+++ b/source/replica_reconcile.cc
@@ -6,15 +6,15 @@
 
 namespace filbertrack {
 
-void ReplicaPass::TendStandby(const ReplicaView& replica) {
+void ReplicaPass::ReconcileStandby(const ReplicaView& replica) {
   for (const BackendServer* member : replica.members) {
     if (member != nullptr) {
-      m_freed.insert(member->id);
+      m_released.insert(member->id);
     }
   }
 }
 
-void ReplicaPass::TendReplica(const ReplicaView& replica) {
+void ReplicaPass::ReconcileReplica(const ReplicaView& replica) {
   const bool any_evacuated =
       std::any_of(replica.members.begin(), replica.members.end(),
                   [this](const BackendServer* member) {
@@ -24,22 +24,22 @@
     return;
   }
   if (IsStandbyGroup(replica.group)) {
-    TendStandby(replica);
+    ReconcileStandby(replica);
     return;
   }
   const ModelProfile* model = m_engine.FindModel(ModelOfGroup(replica.group));
   const size_t size =
       model == nullptr ? 0 : static_cast<size_t>(model->members);
-  bool whole =
+  bool complete =
       replica.members.size() == size && size > 0 && !replica.interrupted;
   bool joining = false;
   for (const BackendServer* member : replica.members) {
-    whole = whole && IsUsable(member);
+    complete = complete && IsUsable(member);
     joining = joining || (member != nullptr && member->membership->state ==
                                                    MembershipState::kJoining);
   }
-  if (whole && model != nullptr) {
-    TendWhole(replica, *model, joining);
+  if (complete && model != nullptr) {
+    ReconcileComplete(replica, *model, joining);
     return;
   }
   if (!replica.interrupted && IsForming(replica)) {
@@ -59,68 +59,70 @@
                       head->membership->state != MembershipState::kJoining &&
                       head->membership->state != MembershipState::kReady;
   const auto since =
-      m_memory.joining_since.try_emplace(Key(replica), m_now).first->second;
-  const auto given = m_memory.joins.find(replica.group);
+      m_memory.joining_since.try_emplace(GroupEpochKey(replica), m_now)
+          .first->second;
+  const auto join = m_memory.pending_joins.find(replica.group);
   const bool repeats = m_policy.repeats_joins && replica.head() != nullptr &&
-                       given != m_memory.joins.end() && given->second.wanted &&
-                       given->second.order.epoch == replica.epoch;
-  const Duration patience =
-      repeats ? m_policy.forming_patience : m_policy.headless_patience;
-  const bool forming = !any_lost && !opened && m_now - since < patience;
+                       join != m_memory.pending_joins.end() &&
+                       join->second.wanted &&
+                       join->second.order.epoch == replica.epoch;
+  const Duration timeout =
+      repeats ? m_policy.forming_timeout : m_policy.headless_timeout;
+  const bool forming = !any_lost && !opened && m_now - since < timeout;
   if (forming && repeats) {
-    RepeatJoin(given->second);
+    RetryJoin(join->second);
   }
   return forming;
 }
 
-void ReplicaPass::RepeatJoin(GivenJoin& given) {
-  const bool due = m_now - given.last_sent >= m_policy.order_retry;
+void ReplicaPass::RetryJoin(PendingJoin& join) {
+  const bool due = m_now - join.last_sent >= m_policy.order_retry;
   std::vector<std::string> missing;
-  for (const std::string& member : given.order.members) {
+  for (const std::string& member : join.order.members) {
     const BackendServer* server = m_input.directory.Find(member);
-    const bool begun = server != nullptr && server->membership &&
-                       server->membership->group == given.order.group;
-    if (!begun) {
+    const bool joined = server != nullptr && server->membership &&
+                        server->membership->group == join.order.group;
+    if (!joined) {
       missing.push_back(member);
       // Until it begins it must not go to another group.
-      Occupy(member);
+      MarkBusy(member);
     }
   }
   if (due && !missing.empty()) {
-    given.last_sent = m_now;
+    join.last_sent = m_now;
     m_orders.push_back(
-        {given.order, "a member did not begin to join", std::move(missing)});
+        {join.order, "a member did not begin to join", std::move(missing)});
   }
 }
 
-void ReplicaPass::TendWhole(const ReplicaView& replica,
-                            const ModelProfile& model,
-                            bool joining) {
-  CountWhole(replica, model, 1);
+void ReplicaPass::ReconcileComplete(const ReplicaView& replica,
+                                    const ModelProfile& model,
+                                    bool joining) {
+  AdjustGroupCount(replica, model, 1);
   const BackendServer& head = *replica.head();
   switch (head.membership->state) {
     case MembershipState::kBroken:
-      CountWhole(replica, model, -1);
-      Free(replica);
+      AdjustGroupCount(replica, model, -1);
+      Disband(replica);
       return;
     case MembershipState::kReady:
       if (IsSuperseded(replica)) {
-        CountWhole(replica, model, -1);
-        Free(replica);
+        AdjustGroupCount(replica, model, -1);
+        Disband(replica);
         return;
       }
       if (!joining && !IsBusy(head.id)) {
-        Occupy(head.id);
-        OpenOrders& opens = m_memory.opens[replica.group];
-        opens.epoch = replica.epoch;
-        opens.last_sent = m_now;
-        ++opens.unanswered;
-        Give(OpenGroup{head.id, replica.group, replica.epoch},
-             "all members are ready");
+        MarkBusy(head.id);
+        OpenOrders& open_orders = m_memory.open_orders[replica.group];
+        open_orders.epoch = replica.epoch;
+        open_orders.last_sent = m_now;
+        ++open_orders.unanswered;
+        AddOrder(OpenGroup{head.id, replica.group, replica.epoch},
+                 "all members are ready");
       }
       return;
     case MembershipState::kJoining:
-      GiveUpSlowJoin(replica, model);
+      AbandonSlowJoin(replica, model);
       return;
     case MembershipState::kOpen:
     case MembershipState::kClosing:
@@ -141,28 +143,29 @@
                      });
 }
 
-void ReplicaPass::GiveUpSlowJoin(const ReplicaView& replica,
-                                 const ModelProfile& model) {
+void ReplicaPass::AbandonSlowJoin(const ReplicaView& replica,
+                                  const ModelProfile& model) {
   const auto since =
-      m_memory.joining_since.try_emplace(Key(replica), m_now).first->second;
-  const auto patience = Duration(static_cast<int64_t>(
-      m_policy.join_patience * static_cast<double>(model.load.count())));
-  if (m_now - since > patience) {
-    CountWhole(replica, model, -1);
-    Free(replica);
+      m_memory.joining_since.try_emplace(GroupEpochKey(replica), m_now)
+          .first->second;
+  const auto timeout = Duration(static_cast<int64_t>(
+      m_policy.join_timeout_factor * static_cast<double>(model.load.count())));
+  if (m_now - since > timeout) {
+    AdjustGroupCount(replica, model, -1);
+    Disband(replica);
   }
 }
 
-void ReplicaPass::CountWhole(const ReplicaView& replica,
-                             const ModelProfile& model,
-                             int change) {
-  m_whole[model.name] += change;
-  m_whole_in[replica.domain][model.name] += change;
+void ReplicaPass::AdjustGroupCount(const ReplicaView& replica,
+                                   const ModelProfile& model,
+                                   int change) {
+  m_group_counts[model.name] += change;
+  m_group_counts_in[replica.domain][model.name] += change;
 }
 
 void ReplicaPass::Dissolve(const ReplicaView& replica, std::string_view why) {
   if (HeadLeft(replica)) {
-    FreeMembers(replica);
+    ReleaseMembers(replica);
     return;
   }
   const BackendServer* head = replica.head();
@@ -177,25 +180,25 @@
         return;
       }
       // Members that only leave in an orderly way let the requests end.
-      const bool orderly =
+      const bool graceful =
           !replica.interrupted &&
           std::none_of(replica.members.begin(), replica.members.end(),
                        [this](const BackendServer* member) {
                          return member == nullptr ||
                                 Health(*member) != HostHealth::kAnswers;
                        });
-      if (orderly && head->membership->state == MembershipState::kClosing) {
+      if (graceful && head->membership->state == MembershipState::kClosing) {
         return;
       }
-      Occupy(head->id);
-      Give(CloseGroup{head->id, replica.group, replica.epoch, !orderly},
-           std::string(why));
+      MarkBusy(head->id);
+      AddOrder(CloseGroup{head->id, replica.group, replica.epoch, !graceful},
+               std::string(why));
       return;
     }
     case MembershipState::kJoining:
     case MembershipState::kReady:
     case MembershipState::kBroken:
-      Free(replica);
+      Disband(replica);
       return;
   }
 }
@@ -206,13 +209,13 @@
 
 void ReplicaPass::DissolveWithoutHead(const ReplicaView& replica,
                                       const BackendServer* head) {
-  const bool certainly_gone =
+  const bool process_ended =
       head != nullptr && Health(*head) == HostHealth::kGone;
-  if (certainly_gone) {
-    FreeMembers(replica);
+  if (process_ended) {
+    ReleaseMembers(replica);
     return;
   }
-  if (head == nullptr && AskLapsedHead(replica)) {
+  if (head == nullptr && OrderUnregisteredHead(replica)) {
     return;
   }
   // The head may live behind a partition and hold requests. Without its
@@ -222,53 +225,54 @@
         IsBusy(member->id)) {
       continue;
     }
-    Occupy(member->id);
-    Give(LeaveGroup{member->id, replica.group, replica.epoch},
-         "the head is silent");
+    MarkBusy(member->id);
+    AddOrder(LeaveGroup{member->id, replica.group, replica.epoch},
+             "the head is silent");
   }
 }
 
-bool ReplicaPass::AskLapsedHead(const ReplicaView& replica) {
+bool ReplicaPass::OrderUnregisteredHead(const ReplicaView& replica) {
   const BackendServer* head =
       m_input.directory.FindLastHead(replica.group, replica.epoch);
   if (head == nullptr) {
     return false;
   }
   const TimePoint since =
-      m_memory.headless_since.try_emplace(Key(replica), m_now).first->second;
-  if (m_memory.given.contains(head->id)) {
+      m_memory.headless_since.try_emplace(GroupEpochKey(replica), m_now)
+          .first->second;
+  if (m_memory.recent_orders.contains(head->id)) {
     return m_now - since < 2 * m_policy.order_retry;
   }
-  Occupy(head->id);
+  MarkBusy(head->id);
   if (m_now == since) {
-    Give(CloseGroup{head->id, replica.group, replica.epoch, false},
-         "the head is not registered any more");
+    AddOrder(CloseGroup{head->id, replica.group, replica.epoch, false},
+             "the head is not registered any more");
   } else {
-    Give(LeaveGroup{head->id, replica.group, replica.epoch},
-         "the head is not registered any more");
+    AddOrder(LeaveGroup{head->id, replica.group, replica.epoch},
+             "the head is not registered any more");
   }
   return m_now - since < 2 * m_policy.order_retry;
 }
 
-void ReplicaPass::Free(const ReplicaView& replica) {
+void ReplicaPass::Disband(const ReplicaView& replica) {
   const BackendServer& head = *replica.head();
   if (head.membership->state == MembershipState::kJoining) {
     // Nobody can have ordered it to open.
-    m_freed.insert(head.id);
-    FreeMembers(replica);
+    m_released.insert(head.id);
+    ReleaseMembers(replica);
     return;
   }
   if (!IsBusy(head.id)) {
-    Occupy(head.id);
-    Give(LeaveGroup{head.id, replica.group, replica.epoch},
-         "the group is taken apart");
+    MarkBusy(head.id);
+    AddOrder(LeaveGroup{head.id, replica.group, replica.epoch},
+             "the group is taken apart");
   }
 }
 
-void ReplicaPass::FreeMembers(const ReplicaView& replica) {
+void ReplicaPass::ReleaseMembers(const ReplicaView& replica) {
   for (const BackendServer* member : replica.members) {
     if (member != nullptr && member->membership->rank > 0) {
-      m_freed.insert(member->id);
+      m_released.insert(member->id);
     }
   }
 }
--- a/source/replica_stage.cc
+++ b/source/replica_stage.cc
@@ -10,9 +10,9 @@
 
 /// Need for a further group of a model of which none is missing, beside the
 /// part of the wanted ones that is missing.
-constexpr double kLeastNeed = 0.2;
+constexpr double kMinNeed = 0.2;
 /// Chance, as a rough guess, that a group loses a member while one load runs.
-constexpr double kLossShare = 0.4;
+constexpr double kLossProbability = 0.4;
 
 }  // namespace
 
@@ -35,10 +35,10 @@
     return false;
   }
   // A group larger than the limit is loaded alone.
-  const size_t at_once = CountLoading() + count;
-  const size_t most =
+  const size_t concurrent = CountLoading() + count;
+  const size_t limit =
       std::max(static_cast<size_t>(m_engine.loads_at_once), count);
-  if (at_once > most) {
+  if (concurrent > limit) {
     return false;
   }
   const double allowed = m_engine.loads_per_second *
@@ -47,13 +47,14 @@
   return static_cast<double>(m_memory.load_starts.size() + count) <= allowed;
 }
 
-void ReplicaPass::NoteLoad(const std::string& host, const std::string& model) {
+void ReplicaPass::RecordLoad(const std::string& host,
+                             const std::string& model) {
   m_memory.loading[host] = {m_now, model};
   m_memory.load_starts.push_back(m_now);
 }
 
-size_t ReplicaPass::StandingBy(const Domain& domain,
-                               const ModelProfile& model) const {
+size_t ReplicaPass::CountStandby(const Domain& domain,
+                                 const ModelProfile& model) const {
   return static_cast<size_t>(
       std::count_if(domain.free.begin(), domain.free.end(),
                     [this, &model](const BackendServer* host) {
@@ -83,7 +84,7 @@
     const BackendServer* host = FindEmpty(domain);
     const bool full = domain.free.size() < static_cast<size_t>(model.members);
     if (groups != domain.groups.end() && groups->second > 0 && full &&
-        host != nullptr && StandingBy(domain, model) == 0) {
+        host != nullptr && CountStandby(domain, model) == 0) {
       Stage(*host, model);
       return true;
     }
@@ -94,22 +95,23 @@
 double ReplicaPass::StageValue(const Domain& domain,
                                const ModelProfile& model) const {
   const auto size = static_cast<size_t>(model.members);
-  const size_t standing_by = StandingBy(domain, model);
+  const size_t standing_by = CountStandby(domain, model);
   const size_t lacking = size - standing_by % size;
   const double completes = static_cast<double>(size) /
                            static_cast<double>(lacking) *
-                           (kLeastNeed + std::max(0.0, Shortage(model)));
+                           (kMinNeed + std::max(0.0, Shortage(model)));
   const auto groups = domain.groups.find(model.name);
   const int present = groups == domain.groups.end() ? 0 : groups->second;
   const double protects =
-      standing_by == 0 ? kLossShare * present * (model.members - 1) : 0;
+      standing_by == 0 ? kLossProbability * present * (model.members - 1) : 0;
   return completes + protects;
 }
 
 void ReplicaPass::Stage(const BackendServer& host, const ModelProfile& model) {
-  Occupy(host.id);
-  NoteLoad(host.id, model.name);
-  Give(StageModel{host.id, model.name}, "a host without a group loads ahead");
+  MarkBusy(host.id);
+  RecordLoad(host.id, model.name);
+  AddOrder(StageModel{host.id, model.name},
+           "a host without a group loads ahead");
 }
 
 void ReplicaPass::StageSpares() {
@@ -159,11 +161,11 @@
   if (m_input.before_traffic) {
     return;
   }
-  for (const ModelProfile* wanted : ByShortage()) {
+  for (const ModelProfile* wanted : ModelsByShortage()) {
     const auto size = static_cast<size_t>(wanted->members);
     for (auto& [name, domain] : m_domains) {
       for (const ModelProfile& other : m_engine.models) {
-        const size_t present = StandingBy(domain, *wanted);
+        const size_t present = CountStandby(domain, *wanted);
         const size_t lacking = present >= size ? 0 : size - present;
         const auto idle = FindIdle(domain, other);
         const bool helps = other.name != wanted->name && Shortage(other) <= 0 &&
@@ -195,8 +197,8 @@
       join.model = model->name;
       join.members = {host->id};
       m_memory.ordered_epoch[host->id] = join.epoch;
-      Occupy(host->id);
-      Give(std::move(join), "a spare loads its weights into memory");
+      MarkBusy(host->id);
+      AddOrder(std::move(join), "a spare loads its weights into memory");
     }
   }
 }
--- a/source/request_intake.cc
+++ b/source/request_intake.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr size_t kPrefixHashDigits = 16;
 /// Deeper bodies are refused: they cost stack and serve no caller.
-constexpr int kMostDepth = 32;
+constexpr int kMaxDepth = 32;
 
 tl::unexpected<Error> BadRequest(std::string message) {
   return Fail(ResultCode::kBadRequest, std::move(message));
@@ -52,8 +52,8 @@
     return Fail(ResultCode::kDeadlinePassed,
                 "The deadline had passed when the request arrived.");
   }
-  const int64_t longest = ToMilliseconds(policy.longest_deadline);
-  return now + Milliseconds(std::min(count, longest));
+  const int64_t max_ms = ToMilliseconds(policy.max_deadline);
+  return now + Milliseconds(std::min(count, max_ms));
 }
 
 Result<bool> ReadIdempotent(const RawRequest& raw, bool by_default) {
@@ -68,7 +68,7 @@
   return raw.idempotent == "true";
 }
 
-bool TooDeep(std::string_view text) {
+bool ExceedsMaxDepth(std::string_view text) {
   int depth = 0;
   bool quoted = false;
   for (size_t i = 0; i < text.size(); ++i) {
@@ -78,7 +78,7 @@
     } else if (text[i] == '"') {
       quoted = true;
     } else if (text[i] == '{' || text[i] == '[') {
-      if (++depth > kMostDepth) {
+      if (++depth > kMaxDepth) {
         return true;
       }
     } else if (text[i] == '}' || text[i] == ']') {
@@ -98,9 +98,9 @@
 Result<bool> ReadModelBody(const RawRequest& raw,
                            const Resources& resources,
                            CallerRequest& request) {
-  if (TooDeep(raw.body)) {
+  if (ExceedsMaxDepth(raw.body)) {
     return BadRequest("The body nests deeper than " +
-                      std::to_string(kMostDepth) + " levels.");
+                      std::to_string(kMaxDepth) + " levels.");
   }
   request.body = Json::parse(raw.body, nullptr, false);
   if (!request.body.is_object()) {
@@ -195,9 +195,9 @@
     return tl::unexpected<Error>(idempotent.error());
   }
   request.idempotent = *idempotent;
-  if (raw.idempotency_key.size() > policy.most_key_bytes) {
+  if (raw.idempotency_key.size() > policy.max_key_bytes) {
     return BadRequest("The header Idempotency-Key is longer than " +
-                      std::to_string(policy.most_key_bytes) + " bytes.");
+                      std::to_string(policy.max_key_bytes) + " bytes.");
   }
   request.idempotency_key = raw.idempotency_key;
   if (!request.idempotency_key.empty()) {
--- a/source/request_machine.cc
+++ b/source/request_machine.cc
@@ -9,9 +9,9 @@
 constexpr int kFirstServerError = 500;
 
 /// Handles one event. Each overload is one row of the transition table.
-class Step {
+class Transition {
  public:
-  Step(RequestState& state, const RequestPolicy& policy, TimePoint now)
+  Transition(RequestState& state, const RequestPolicy& policy, TimePoint now)
       : m_state(state), m_policy(policy), m_now(now) {}
 
   Actions operator()(const TargetChosen&) {
@@ -23,7 +23,7 @@
     return {};
   }
 
-  Actions operator()(const NoTarget& event) { return GiveUp(event.code); }
+  Actions operator()(const NoTarget& event) { return EndRequest(event.code); }
 
   Actions operator()(const AttemptHead& event) {
     if (!m_state.attempt_open) {
@@ -38,7 +38,7 @@
     if (event.says_not_run) {
       return EndAttempt(false);
     }
-    const bool last = m_state.attempts >= m_policy.most_attempts &&
+    const bool last = m_state.attempts >= m_policy.max_attempts &&
                       m_state.traits.relays_last_error;
     if (!m_state.traits.pass_any_status && !last &&
         event.status >= kFirstServerError) {
@@ -111,10 +111,10 @@
   }
 
   Actions operator()(const DeadlinePassed&) {
-    return GiveUp(ResultCode::kDeadlinePassed);
+    return EndRequest(ResultCode::kDeadlinePassed);
   }
 
-  Actions operator()(const CallerLeft&) {
+  Actions operator()(const CallerDisconnected&) {
     Actions actions;
     if (m_state.attempt_open) {
       m_state.known = Outcome::kUnknown;
@@ -143,16 +143,18 @@
       --m_state.attempts;
     }
     if (m_now >= m_state.traits.deadline) {
-      return Append(std::move(actions), GiveUp(ResultCode::kDeadlinePassed));
+      return Append(std::move(actions),
+                    EndRequest(ResultCode::kDeadlinePassed));
     }
     if (may_have_run && !m_state.traits.idempotent) {
-      return Append(std::move(actions), GiveUp(ResultCode::kUpstreamFailed));
+      return Append(std::move(actions),
+                    EndRequest(ResultCode::kUpstreamFailed));
     }
-    if (!HasTriesLeft(m_state, m_policy)) {
+    if (!HasAttemptsLeft(m_state, m_policy)) {
       return Append(std::move(actions),
-                    GiveUp(m_state.known == Outcome::kNotRun
-                               ? ResultCode::kAttemptRefused
-                               : ResultCode::kUpstreamFailed));
+                    EndRequest(m_state.known == Outcome::kNotRun
+                                   ? ResultCode::kAttemptRefused
+                                   : ResultCode::kUpstreamFailed));
     }
     actions.emplace_back(SeekTarget{true, m_state.next_token});
     return actions;
@@ -160,7 +162,7 @@
 
   /// The final answer, at once: holding it back would only keep the caller
   /// from asking elsewhere.
-  Actions GiveUp(ResultCode code) {
+  Actions EndRequest(ResultCode code) {
     Actions actions;
     // An attempt that is stopped now may have run; only one that was never
     // open, or was refused by the backend server, is known not to have.
@@ -170,7 +172,7 @@
     Close(actions);
     m_state.ended = true;
     if (m_state.answer_started) {
-      actions.emplace_back(BreakStream{code});
+      actions.emplace_back(AbortStream{code});
     } else {
       actions.emplace_back(Refuse{code, m_state.known});
     }
@@ -191,9 +193,8 @@
 
 }  // namespace
 
-bool HasTriesLeft(const RequestState& state, const RequestPolicy& policy) {
-  return state.attempts < policy.most_attempts &&
-         state.sends < policy.most_sends;
+bool HasAttemptsLeft(const RequestState& state, const RequestPolicy& policy) {
+  return state.attempts < policy.max_attempts && state.sends < policy.max_sends;
 }
 
 Actions StartRequest(RequestState& state, TimePoint now) {
@@ -211,7 +212,7 @@
   if (state.ended) {
     return {};
   }
-  return std::visit(Step(state, policy, now), event);
+  return std::visit(Transition(state, policy, now), event);
 }
 
 }  // namespace filbertrack
--- a/source/request_retry_budget.cc
+++ b/source/request_retry_budget.cc
@@ -5,23 +5,23 @@
 namespace filbertrack {
 
 void RetryBudget::OnRequest(TimePoint now) {
-  Refresh(now);
+  Refill(now);
   Earn(m_policy.earned_per_request);
 }
 
 void RetryBudget::SetPolicy(const RetryBudgetPolicy& policy, TimePoint now) {
-  Refresh(now);
+  Refill(now);
   m_policy = policy;
-  m_saved = std::min(m_saved, policy.most_saved);
+  m_saved = std::min(m_saved, policy.max_saved);
 }
 
-void RetryBudget::SetMostSaved(double most) {
-  m_policy.most_saved = most;
-  m_saved = std::min(m_saved, most);
+void RetryBudget::SetMaxSaved(double max_saved) {
+  m_policy.max_saved = max_saved;
+  m_saved = std::min(m_saved, max_saved);
 }
 
 bool RetryBudget::CanSpend(TimePoint now) {
-  Refresh(now);
+  Refill(now);
   return m_saved >= 1;
 }
 
@@ -34,10 +34,10 @@
 }
 
 void RetryBudget::Earn(double amount) {
-  m_saved = std::min(m_policy.most_saved, m_saved + amount);
+  m_saved = std::min(m_policy.max_saved, m_saved + amount);
 }
 
-void RetryBudget::Refresh(TimePoint now) {
+void RetryBudget::Refill(TimePoint now) {
   Earn(ToSeconds(now - m_updated) * m_policy.earned_per_second);
   m_updated = now;
 }
--- a/source/request_sse.cc
+++ b/source/request_sse.cc
@@ -16,7 +16,7 @@
   return value;
 }
 
-void ReadLine(std::string_view line, SseEvent& event) {
+void ParseLine(std::string_view line, SseEvent& event) {
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
@@ -43,22 +43,22 @@
 };
 
 std::optional<Boundary> FindBoundary(std::string_view text) {
-  const size_t plain = text.find("\n\n");
-  const size_t carriage = text.find("\r\n\r\n");
-  if (plain == std::string_view::npos && carriage == std::string_view::npos) {
+  const size_t lf = text.find("\n\n");
+  const size_t crlf = text.find("\r\n\r\n");
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) {
     return std::nullopt;
   }
-  if (carriage < plain) {
-    return Boundary{carriage, 4};
+  if (crlf < lf) {
+    return Boundary{crlf, 4};
   }
-  return Boundary{plain, 2};
+  return Boundary{lf, 2};
 }
 
-SseEvent ReadEvent(std::string_view block) {
+SseEvent ParseEvent(std::string_view block) {
   SseEvent event;
   while (!block.empty()) {
     const size_t end = std::min(block.find('\n'), block.size());
-    ReadLine(block.substr(0, end), event);
+    ParseLine(block.substr(0, end), event);
     block.remove_prefix(std::min(end + 1, block.size()));
   }
   event.done = event.data == kDoneText;
@@ -67,15 +67,15 @@
 
 }  // namespace
 
-std::vector<SseEvent> SseSplitter::Push(std::string_view bytes) {
+std::vector<SseEvent> SseParser::Push(std::string_view bytes) {
   std::vector<SseEvent> events;
-  m_rest += bytes;
-  size_t taken = 0;
-  const std::string_view rest = m_rest;
-  while (const auto boundary = FindBoundary(rest.substr(taken))) {
-    SseEvent event = ReadEvent(rest.substr(taken, boundary->start));
-    m_skipped += rest.substr(taken, boundary->start + boundary->length);
-    taken += boundary->start + boundary->length;
+  m_buffer += bytes;
+  size_t consumed = 0;
+  const std::string_view buffered = m_buffer;
+  while (const auto boundary = FindBoundary(buffered.substr(consumed))) {
+    SseEvent event = ParseEvent(buffered.substr(consumed, boundary->start));
+    m_skipped += buffered.substr(consumed, boundary->start + boundary->length);
+    consumed += boundary->start + boundary->length;
     // Comments and keep-alives carry no data and are not answers. They stand
     // before the next event where the text is passed on as it came.
     if (!event.data.empty()) {
@@ -84,8 +84,8 @@
       events.push_back(std::move(event));
     }
   }
-  m_rest.erase(0, taken);
-  m_valid = m_valid && m_rest.size() <= kMostEventBytes;
+  m_buffer.erase(0, consumed);
+  m_valid = m_valid && m_buffer.size() <= kMaxEventBytes;
   return events;
 }
 
--- a/source/routing_choice.cc
+++ b/source/routing_choice.cc
@@ -13,9 +13,9 @@
 /// A target's slowness falls back towards 1 only through requests; it never
 /// rises past this, so that some requests still reach it and can show that it
 /// has recovered.
-constexpr double kMostSlowness = 20;
-constexpr Duration kLeastServiceTime = Milliseconds(10);
-constexpr double kFirstShare = 0.1;
+constexpr double kMaxSlowness = 20;
+constexpr Duration kMinServiceTime = Milliseconds(10);
+constexpr double kInitialShare = 0.1;
 
 double Smooth(double before, double measured) {
   return before + kSmoothing * (measured - before);
@@ -40,7 +40,7 @@
                       const PredictedFirstToken& policy,
                       TimePoint now) {
   const double age = ToSeconds(now - candidate.history.serving_since);
-  return std::clamp(age / ToSeconds(policy.slow_start), kFirstShare, 1.0);
+  return std::clamp(age / ToSeconds(policy.slow_start), kInitialShare, 1.0);
 }
 
 bool HasRoom(const RouteCandidate& candidate,
@@ -58,8 +58,8 @@
     return false;
   }
   const int doublings = std::min(history.failures - 1, 16);
-  const Duration pause =
-      std::min(policy.failure_pause * (1 << doublings), policy.longest_pause);
+  const Duration pause = std::min(policy.failure_pause * (1 << doublings),
+                                  policy.max_failure_pause);
   return now < history.last_failure + pause;
 }
 
@@ -97,9 +97,9 @@
 
 /// The target that the prompt's prefix hashes to: all entry hosts agree on it
 /// without speaking, so that its cache sees all requests of the prefix.
-size_t HomeOfPrefix(std::span<const RouteCandidate> candidates,
-                    const std::vector<size_t>& serving,
-                    std::string_view prefix) {
+size_t AffinityTarget(std::span<const RouteCandidate> candidates,
+                      const std::vector<size_t>& serving,
+                      std::string_view prefix) {
   return *std::max_element(
       serving.begin(), serving.end(), [&](size_t left, size_t right) {
         return RendezvousWeight(prefix, candidates[left].target.id) <
@@ -115,7 +115,7 @@
                                    std::mt19937_64& random) {
   std::vector<size_t> drawn;
   if (!query.prefix.empty()) {
-    drawn.push_back(HomeOfPrefix(candidates, open, query.prefix));
+    drawn.push_back(AffinityTarget(candidates, open, query.prefix));
   }
   for (const size_t i : open) {
     if (HasPrefix(candidates[i], query.prefix, policy, now)) {
@@ -132,13 +132,13 @@
 
 /// The smallest slowness among targets. What slows all of them is load, which
 /// the prediction counts already; only what sets one apart makes a straggler.
-double UsualSlowness(std::span<const RouteCandidate> candidates,
-                     const std::vector<size_t>& open) {
-  double usual = kMostSlowness;
+double LowestSlowness(std::span<const RouteCandidate> candidates,
+                      const std::vector<size_t>& open) {
+  double lowest = kMaxSlowness;
   for (const size_t i : open) {
-    usual = std::min(usual, candidates[i].history.slowness);
+    lowest = std::min(lowest, candidates[i].history.slowness);
   }
-  return usual;
+  return lowest;
 }
 
 Duration ShortestServiceTime(std::span<const RouteCandidate> candidates,
@@ -147,13 +147,13 @@
   for (const size_t i : serving) {
     const Duration time = candidates[i].history.service_time /
                           std::max(1, candidates[i].load.slots);
-    shortest = std::min(shortest, std::max(time, kLeastServiceTime));
+    shortest = std::min(shortest, std::max(time, kMinServiceTime));
   }
   return shortest;
 }
 
-RouteDecision ChooseInTurn(RoundRobin& policy,
-                           const std::vector<size_t>& serving) {
+RouteDecision ChooseRoundRobin(RoundRobin& policy,
+                               const std::vector<size_t>& serving) {
   return RouteChoice{serving[policy.next++ % serving.size()], Duration(0),
                      Duration(0)};
 }
@@ -176,14 +176,14 @@
   if (open.empty()) {
     return busy;
   }
-  const double usual = UsualSlowness(candidates, open);
+  const double lowest = LowestSlowness(candidates, open);
   RouteChoice best;
   bool found = false;
   for (const size_t i :
        DrawCandidates(candidates, open, query, policy, now, random)) {
     const Duration unscaled =
         PredictFirstToken(candidates[i], query, policy, now);
-    const double scale = candidates[i].history.slowness / usual;
+    const double scale = candidates[i].history.slowness / lowest;
     const auto predicted = Duration(
         static_cast<int64_t>(scale * static_cast<double>(unscaled.count())));
     if (!found || predicted < best.predicted) {
@@ -219,7 +219,7 @@
   const int slots = std::max(1, load.slots);
   const int work = EstimatedLoad(candidate);
   const double service_time =
-      ToSeconds(std::max(candidate.history.service_time, kLeastServiceTime));
+      ToSeconds(std::max(candidate.history.service_time, kMinServiceTime));
   const double waiting = std::max(0, work + 1 - slots) * service_time / slots;
   // Prefills of one target share its processors.
   const double sharing = 1 + static_cast<double>(work) / slots;
@@ -241,8 +241,8 @@
   if (serving.empty()) {
     return RouteDenial{RouteRefusal::kNoneServing, Seconds(1)};
   }
-  if (auto* in_turn = std::get_if<RoundRobin>(&policy)) {
-    return ChooseInTurn(*in_turn, serving);
+  if (auto* round_robin = std::get_if<RoundRobin>(&policy)) {
+    return ChooseRoundRobin(*round_robin, serving);
   }
   return ChoosePredicted(std::get<PredictedFirstToken>(policy), candidates,
                          serving, query, now, random);
@@ -251,11 +251,11 @@
 void LearnFirstToken(TargetHistory& history,
                      Duration predicted,
                      Duration measured) {
-  const double floor = ToSeconds(kLeastServiceTime);
+  const double floor = ToSeconds(kMinServiceTime);
   const double expected = std::max(floor, ToSeconds(predicted));
   const double ratio = std::max(floor, ToSeconds(measured)) / expected;
   history.slowness =
-      std::clamp(Smooth(history.slowness, ratio), 1.0, kMostSlowness);
+      std::clamp(Smooth(history.slowness, ratio), 1.0, kMaxSlowness);
   history.failures = 0;
 }
 
--- a/source/server_directory.cc
+++ b/source/server_directory.cc
@@ -8,9 +8,9 @@
 
 /// Groups whose head left are forgotten, once no member is left in them, from
 /// this number on.
-constexpr size_t kMostGroupsWithoutHead = 256;
+constexpr size_t kMaxGroupsWithoutHead = 256;
 /// Removed servers that are remembered: more than lapse at once.
-constexpr size_t kMostRemoved = 1024;
+constexpr size_t kMaxRemoved = 1024;
 
 bool IsHeadOf(const BackendServer& server,
               std::string_view group,
@@ -27,10 +27,11 @@
 
 bool ServerDirectory::Put(BackendServer server, TimePoint now) {
   const BackendServer* last = FindLast(server.id);
-  if (last != nullptr && IsLaterLife(last->born_ms, server.born_ms)) {
+  if (last != nullptr &&
+      IsNewerInstance(last->process_start_ms, server.process_start_ms)) {
     return false;
   }
-  m_lapsed.erase(server.id);
+  m_pending_removal.erase(server.id);
   const auto [row, arrived] = m_servers.try_emplace(server.id);
   BackendServer& known = row->second;
   if (arrived) {
@@ -45,8 +46,8 @@
     // One that was taken out and is back as it was is news, too.
     return arrived;
   }
-  if (IsLaterLife(server.born_ms, known.born_ms)) {
-    EndLife(known);
+  if (IsNewerInstance(server.process_start_ms, known.process_start_ms)) {
+    ResetInstance(known);
     m_last_arrival = now;
   }
   NoteInterruption(known, server);
@@ -81,7 +82,7 @@
   return until;
 }
 
-void ServerDirectory::EndLife(BackendServer& known) {
+void ServerDirectory::ResetInstance(BackendServer& known) {
   BackendServer after;
   after.id = known.id;
   NoteInterruption(known, after);
@@ -98,13 +99,13 @@
       before.membership->state == MembershipState::kJoining) {
     return;
   }
-  const Membership& place = *before.membership;
+  const Membership& membership = *before.membership;
   const bool stays = after.membership &&
-                     after.membership->group == place.group &&
-                     after.membership->epoch == place.epoch &&
+                     after.membership->group == membership.group &&
+                     after.membership->epoch == membership.epoch &&
                      after.membership->state != MembershipState::kJoining;
   if (!stays) {
-    m_interrupted[place.group] = place.epoch;
+    m_interrupted[membership.group] = membership.epoch;
   }
 }
 
@@ -119,12 +120,12 @@
   if (!before.membership || before.membership->rank != 0) {
     return;
   }
-  const Membership& place = *before.membership;
-  const bool same = after.membership &&
-                    after.membership->group == place.group &&
-                    after.membership->epoch == place.epoch;
-  if (!same) {
-    m_without_head[place.group] = place.epoch;
+  const Membership& membership = *before.membership;
+  const bool same_membership = after.membership &&
+                               after.membership->group == membership.group &&
+                               after.membership->epoch == membership.epoch;
+  if (!same_membership) {
+    m_headless_groups[membership.group] = membership.epoch;
   }
 }
 
@@ -154,8 +155,8 @@
 }
 
 void ServerDirectory::ForgetEmptyGroups() {
-  if (m_without_head.size() < kMostGroupsWithoutHead &&
-      m_interrupted.size() < kMostGroupsWithoutHead) {
+  if (m_headless_groups.size() < kMaxGroupsWithoutHead &&
+      m_interrupted.size() < kMaxGroupsWithoutHead) {
     return;
   }
   std::set<std::string_view> present;
@@ -167,13 +168,13 @@
   const auto is_empty = [&present](const auto& row) {
     return !present.contains(row.first);
   };
-  std::erase_if(m_without_head, is_empty);
+  std::erase_if(m_headless_groups, is_empty);
   std::erase_if(m_interrupted, is_empty);
 }
 
 bool ServerDirectory::HeadLeft(std::string_view group, uint64_t epoch) const {
-  const auto found = m_without_head.find(group);
-  return found != m_without_head.end() && found->second == epoch;
+  const auto found = m_headless_groups.find(group);
+  return found != m_headless_groups.end() && found->second == epoch;
 }
 
 const BackendServer* ServerDirectory::FindHead(std::string_view group,
@@ -199,21 +200,21 @@
   if (!before.membership || before.membership->rank == 0) {
     return;
   }
-  const Membership& place = *before.membership;
-  const BackendServer* head = FindHead(place.group, place.epoch);
+  const Membership& membership = *before.membership;
+  const BackendServer* head = FindHead(membership.group, membership.epoch);
   // A group that was still joining cannot have been opened.
   const bool never_open =
       head != nullptr && head->membership->state == MembershipState::kJoining;
-  if (!never_open && !HeadLeft(place.group, place.epoch)) {
-    m_departures[after.id] = {place.group, place.epoch, now, now};
+  if (!never_open && !HeadLeft(membership.group, membership.epoch)) {
+    m_departures[after.id] = {membership.group, membership.epoch, now, now};
   }
 }
 
-void ServerDirectory::OnFirstReading(TimePoint now) {
-  if (m_read) {
+void ServerDirectory::OnInitialListing(TimePoint now) {
+  if (m_listed) {
     return;
   }
-  m_read = true;
+  m_listed = true;
   const bool any_group = std::any_of(
       m_servers.begin(), m_servers.end(),
       [](const auto& row) { return row.second.membership.has_value(); });
@@ -241,7 +242,7 @@
 }
 
 void ServerDirectory::OnHeadLeft(const std::string& group, uint64_t epoch) {
-  m_without_head[group] = epoch;
+  m_headless_groups[group] = epoch;
 }
 
 void ServerDirectory::NoteHeadRemoved(const BackendServer& head,
@@ -257,10 +258,10 @@
   }
 }
 
-void ServerDirectory::TakeOut(std::string_view id, TimePoint now) {
+void ServerDirectory::RemoveRegistration(std::string_view id, TimePoint now) {
   const auto found = m_servers.find(id);
   NoteHeadRemoved(found->second, now);
-  if (m_removed.size() >= kMostRemoved) {
+  if (m_removed.size() >= kMaxRemoved) {
     m_open_since.erase(m_removed.begin()->first);
     m_removed.erase(m_removed.begin());
   }
@@ -282,15 +283,15 @@
     return false;
   }
   const bool just_returned =
-      m_store_returned && now - *m_store_returned < m_policy.lapse_grace;
+      m_store_returned && now - *m_store_returned < m_policy.expiry_grace;
   // A server that was leaving is gone whatever the store went through.
   if (just_returned && !found->second.draining) {
-    m_lapsed.try_emplace(found->first,
-                         *m_store_returned + m_policy.lapse_grace);
+    m_pending_removal.try_emplace(found->first,
+                                  *m_store_returned + m_policy.expiry_grace);
     return false;
   }
-  m_lapsed.erase(found->first);
-  TakeOut(id, now);
+  m_pending_removal.erase(found->first);
+  RemoveRegistration(id, now);
   return true;
 }
 
@@ -298,23 +299,23 @@
   if (!m_servers.contains(id)) {
     return false;
   }
-  const auto lapsed = m_lapsed.find(id);
-  if (lapsed != m_lapsed.end()) {
-    m_lapsed.erase(lapsed);
+  const auto expiry = m_pending_removal.find(id);
+  if (expiry != m_pending_removal.end()) {
+    m_pending_removal.erase(expiry);
   }
-  TakeOut(id, now);
+  RemoveRegistration(id, now);
   return true;
 }
 
 bool ServerDirectory::Expire(TimePoint now) {
   bool changed = false;
-  for (auto it = m_lapsed.begin(); it != m_lapsed.end();) {
+  for (auto it = m_pending_removal.begin(); it != m_pending_removal.end();) {
     if (it->second > now) {
       ++it;
       continue;
     }
-    TakeOut(it->first, now);
-    it = m_lapsed.erase(it);
+    RemoveRegistration(it->first, now);
+    it = m_pending_removal.erase(it);
     changed = true;
   }
   return changed;
@@ -322,7 +323,7 @@
 
 std::optional<TimePoint> ServerDirectory::NextExpiry() const {
   std::optional<TimePoint> next;
-  for (const auto& [id, at] : m_lapsed) {
+  for (const auto& [id, at] : m_pending_removal) {
     next = next ? std::min(*next, at) : at;
   }
   return next;
@@ -361,14 +362,14 @@
     if (server.service != service || !server.membership) {
       continue;
     }
-    const Membership& place = *server.membership;
-    ReplicaView& replica = by_epoch[{place.group, place.epoch}];
-    replica.group = place.group;
-    replica.epoch = place.epoch;
+    const Membership& membership = *server.membership;
+    ReplicaView& replica = by_epoch[{membership.group, membership.epoch}];
+    replica.group = membership.group;
+    replica.epoch = membership.epoch;
     replica.service = server.service;
     replica.domain = server.domain;
-    replica.interrupted = IsInterrupted(place.group, place.epoch);
-    const auto rank = static_cast<size_t>(std::max(0, place.rank));
+    replica.interrupted = IsInterrupted(membership.group, membership.epoch);
+    const auto rank = static_cast<size_t>(std::max(0, membership.rank));
     if (replica.members.size() <= rank) {
       replica.members.resize(rank + 1, nullptr);
     }
--- a/source/settings.cc
+++ b/source/settings.cc
@@ -133,9 +133,8 @@
            FormatDuration(type.lowest) + " to " + FormatDuration(type.highest);
   }
   std::string operator()(const TextKey& type) const {
-    if (type.least_bytes > 0) {
-      return "a text of at least " + std::to_string(type.least_bytes) +
-             " bytes";
+    if (type.min_bytes > 0) {
+      return "a text of at least " + std::to_string(type.min_bytes) + " bytes";
     }
     if (type.allowed.empty()) {
       return "a text";
@@ -189,8 +188,7 @@
   bool operator()(const TextKey& type) const {
     *value = text;
     if (type.allowed.empty()) {
-      return (!type.required || !text.empty()) &&
-             text.size() >= type.least_bytes;
+      return (!type.required || !text.empty()) && text.size() >= type.min_bytes;
     }
     return std::find(type.allowed.begin(), type.allowed.end(), text) !=
            type.allowed.end();
--- a/source/site_catalog.cc
+++ b/source/site_catalog.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string PlaceKey(std::string_view hostname, std::string_view prefix) {
+std::string RouteKey(std::string_view hostname, std::string_view prefix) {
   std::string key(hostname);
   key += ' ';
   key += prefix;
@@ -33,7 +33,7 @@
 Catalog::Catalog(CatalogParts parts) : m_parts(std::move(parts)) {
   for (size_t i = 0; i < m_parts.routes.size(); ++i) {
     const Route& route = m_parts.routes[i];
-    m_route_by_place[PlaceKey(route.hostname, route.path_prefix)] = i;
+    m_route_by_prefix[RouteKey(route.hostname, route.path_prefix)] = i;
   }
 }
 
@@ -52,8 +52,8 @@
       return nullptr;
     }
     path = path.substr(0, slash + 1);
-    const auto found = m_route_by_place.find(PlaceKey(hostname, path));
-    if (found != m_route_by_place.end()) {
+    const auto found = m_route_by_prefix.find(RouteKey(hostname, path));
+    if (found != m_route_by_prefix.end()) {
       return &m_parts.routes[found->second];
     }
     path.remove_suffix(1);
@@ -72,10 +72,10 @@
   for (const TrafficShare& share : route.shares) {
     total += share.weight;
   }
-  double left = draw * total;
+  double remaining = draw * total;
   for (const TrafficShare& share : route.shares) {
-    left -= share.weight;
-    if (left < 0) {
+    remaining -= share.weight;
+    if (remaining < 0) {
       return share.service;
     }
   }
--- a/source/site_evacuations.cc
+++ b/source/site_evacuations.cc
@@ -4,32 +4,33 @@
 
 namespace filbertrack {
 
-bool SiteEvacuations::Take(DataCentres data_centres, uint64_t revision) {
-  m_known = revision;
+bool SiteEvacuations::Apply(DataCentres data_centres, uint64_t revision) {
+  m_known_revision = revision;
   if (data_centres == m_data_centres) {
     return false;
   }
   m_data_centres = std::move(data_centres);
-  m_told = revision;
+  m_published_revision = revision;
   return true;
 }
 
 bool SiteEvacuations::OnList(DataCentres data_centres, uint64_t revision) {
   // A read that may be old takes nothing back.
-  return revision >= m_known && Take(std::move(data_centres), revision);
+  return revision >= m_known_revision &&
+         Apply(std::move(data_centres), revision);
 }
 
-bool SiteEvacuations::OnNews(const EvacuationNews& news) {
-  if (news.revision == 0) {
+bool SiteEvacuations::OnPeerUpdate(const EvacuationUpdate& update) {
+  if (update.revision == 0) {
     return false;
   }
-  if (news.revision > m_known) {
-    return Take(news.data_centres, news.revision);
+  if (update.revision > m_known_revision) {
+    return Apply(update.data_centres, update.revision);
   }
-  if (news.data_centres != m_data_centres) {
+  if (update.data_centres != m_data_centres) {
     // The teller missed a change that this host may know from a listing, of
     // which it has told nobody.
-    m_told = m_known;
+    m_published_revision = m_known_revision;
   }
   return false;
 }
--- a/source/site_regions.cc
+++ b/source/site_regions.cc
@@ -10,9 +10,9 @@
     const std::string_view pair = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), pair.size() + 1));
     const size_t colon = pair.find(':');
-    const bool whole =
+    const bool is_valid =
         colon != std::string_view::npos && colon > 0 && colon + 1 < pair.size();
-    if (!whole) {
+    if (!is_valid) {
       return Fail(ResultCode::kSettingsInvalid,
                   "'" + std::string(pair) +
                       "' names no region; it must be DATA-CENTRE:REGION.");
--- a/source/store_absence.cc
+++ b/source/store_absence.cc
@@ -2,31 +2,31 @@
 
 namespace filbertrack {
 
-void StoreAbsence::OnLost(TimePoint now) {
+void StoreOutageDetector::OnLost(TimePoint now) {
   if (!m_lost) {
     m_lost = now;
-    m_peers_knew_more.reset();
+    m_peers_ahead_at.reset();
   }
 }
 
-void StoreAbsence::OnPeersKnewMore(TimePoint now) {
+void StoreOutageDetector::OnPeersAhead(TimePoint now) {
   if (m_lost) {
-    m_peers_knew_more = now;
+    m_peers_ahead_at = now;
   }
 }
 
-bool StoreAbsence::OnReturned(TimePoint now) {
+bool StoreOutageDetector::OnReturned(TimePoint now) {
   if (!m_lost) {
     return false;
   }
   const TimePoint lost = *m_lost;
   m_lost.reset();
-  if (!m_peers_knew_more) {
+  if (!m_peers_ahead_at) {
     return true;
   }
   // Nothing lapses in an absence as short as this, so nothing need be kept.
-  const bool is_short = now - lost < m_policy.under_way;
-  return !is_short && *m_peers_knew_more - lost < m_policy.under_way;
+  const bool is_short = now - lost < m_policy.propagation_time;
+  return !is_short && *m_peers_ahead_at - lost < m_policy.propagation_time;
 }
 
 }  // namespace filbertrack
--- a/source/store_watch.cc
+++ b/source/store_watch.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kFirstBackoff = Milliseconds(100);
-constexpr Duration kLongestBackoff = Seconds(5);
+constexpr Duration kMaxBackoff = Seconds(5);
 
 }  // namespace
 
@@ -57,7 +57,7 @@
   prefix->healthy = answer.status == StoreStatus::kOk;
   if (!prefix->healthy) {
     prefix->backoff =
-        std::clamp(prefix->backoff * 2, kFirstBackoff, kLongestBackoff);
+        std::clamp(prefix->backoff * 2, kFirstBackoff, kMaxBackoff);
     prefix->timer = m_loop.After(
         prefix->backoff, [this, weak = std::weak_ptr<Prefix>(prefix)] {
           if (const std::shared_ptr<Prefix> watched = weak.lock()) {
--- a/standins/platform_runner_standin.cc
+++ b/standins/platform_runner_standin.cc
@@ -260,7 +260,7 @@
   return std::max(Duration(0), m_cold_until - MonotonicNow());
 }
 
-size_t PlatformRunnerStandin::MostInSecond(TimePoint since) const {
+size_t PlatformRunnerStandin::MaxInSecond(TimePoint since) const {
   std::vector<TimePoint> arrivals;
   for (const SeenRequest& seen : m_seen) {
     arrivals.push_back(seen.arrived);
@@ -284,7 +284,7 @@
 void PlatformRunnerStandin::CheckCold() {
   const double borne = m_cold.per_second * kColdOverage + kColdSlack;
   if (is_cold() &&
-      static_cast<double>(MostInSecond(MonotonicNow() - Seconds(1))) > borne) {
+      static_cast<double>(MaxInSecond(MonotonicNow() - Seconds(1))) > borne) {
     m_loop.Post([this, alive = m_alive] {
       if (*alive) {
         Crash();
--- a/standins/platform_runner_standin.h
+++ b/standins/platform_runner_standin.h
@@ -133,7 +133,7 @@
   Duration ColdLeft() const;
   bool is_cold() const { return MonotonicNow() < m_cold_until; }
   /// The most requests, refused ones with them, in any second from `since` on.
-  size_t MostInSecond(TimePoint since) const;
+  size_t MaxInSecond(TimePoint since) const;
   /// Streams that it cut because they stayed unread.
   int cut_unread() const { return m_cut_unread; }
   /// Says in all answers that it leaves.
--- a/standins/standin_engine.cc
+++ b/standins/standin_engine.cc
@@ -135,13 +135,14 @@
   }
 
   void Beat(Watcher& watcher) const {
-    BeatLine beat{MonotonicNow().time_since_epoch().count(), CurrentReport()};
-    const std::string report = FormatBeatLine({0, beat.report});
+    HeartbeatLine beat{MonotonicNow().time_since_epoch().count(),
+                       CurrentReport()};
+    const std::string report = FormatHeartbeatLine({0, beat.report});
     if (report == watcher.last_report) {
       beat.report.reset();
     }
     watcher.last_report = report;
-    watcher.exchange->Send(FormatBeatLine(beat));
+    watcher.exchange->Send(FormatHeartbeatLine(beat));
   }
 
   void BeatAll() {
--- a/standins/standin_store.cc
+++ b/standins/standin_store.cc
@@ -16,8 +16,8 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kMostValueBytes = 1024 * 1024;
-constexpr Duration kLongestWait = Seconds(60);
+constexpr size_t kMaxValueBytes = 1024 * 1024;
+constexpr Duration kMaxWait = Seconds(60);
 
 struct StoreEntry {
   std::string value;
@@ -108,7 +108,7 @@
       exchange.Reply(412, {}, "{}");
       return;
     }
-    if (exchange.body().size() > kMostValueBytes) {
+    if (exchange.body().size() > kMaxValueBytes) {
       exchange.Reply(413, {}, "{}");
       return;
     }
@@ -138,7 +138,7 @@
     const Duration wait = std::min<Duration>(
         Milliseconds(
             std::strtoll(exchange->Query("wait_ms").c_str(), nullptr, 10)),
-        kLongestWait);
+        kMaxWait);
     const uint64_t id = ++m_last_waiter;
     std::shared_ptr<Timer> timer =
         m_loop.After(wait, [this, id] { RemoveWaiter(id, true); });
@@ -232,7 +232,7 @@
   app.add_option("--listen", listen, "Address to listen on.");
   CLI11_PARSE(app, argc, argv);
   filbertrack::HttpServerLimits limits;
-  limits.max_body_bytes = 2 * filbertrack::kMostValueBytes;
+  limits.max_body_bytes = 2 * filbertrack::kMaxValueBytes;
   return filbertrack::ServeStandin(
       listen, limits, [](filbertrack::EventLoop& loop) {
         auto store = std::make_shared<filbertrack::StoreStandin>(loop);
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -23,13 +23,13 @@
     const LoanPolicy policy;
     std::vector<EntitlementParts> hosts(2);
     const std::vector<std::string> names = {"a", "b"};
-    struct Late {
+    struct DelayedReply {
       size_t borrower;
       double rate;
       TimePoint asked_at;
       TimePoint arrives;
     };
-    std::vector<Late> late;
+    std::vector<DelayedReply> delayed;
     TimePoint now = kStart;
     for (EntitlementParts& host : hosts) {
       host.SetBase(kKey, 10);
@@ -42,7 +42,8 @@
       for (int request = 0; request < requests; ++request) {
         hosts[self].OnDemand(kKey, policy, now);
       }
-      for (const auto& wish : hosts[self].Wishes(names[other], policy, now)) {
+      for (const auto& wish :
+           hosts[self].LoanRequests(names[other], policy, now)) {
         const TimePoint asked_at = now;
         const double rate = hosts[other].Grant(
             names[self], kKey, wish.requests_per_second, policy, now);
@@ -51,19 +52,19 @@
             hosts[self].OnGranted(names[other], kKey, rate, policy, asked_at);
             break;
           case 1:
-            late.push_back({self, rate, asked_at,
-                            now + Milliseconds(*rc::gen::inRange(1, 1500))});
+            delayed.push_back({self, rate, asked_at,
+                               now + Milliseconds(*rc::gen::inRange(1, 1500))});
             break;
           default:
             break;
         }
       }
-      for (size_t j = late.size(); j-- > 0;) {
-        if (late[j].arrives <= now) {
-          hosts[late[j].borrower].OnGranted(names[1 - late[j].borrower], kKey,
-                                            late[j].rate, policy,
-                                            late[j].asked_at);
-          late.erase(late.begin() + static_cast<ptrdiff_t>(j));
+      for (size_t j = delayed.size(); j-- > 0;) {
+        if (delayed[j].arrives <= now) {
+          hosts[delayed[j].borrower].OnGranted(names[1 - delayed[j].borrower],
+                                               kKey, delayed[j].rate, policy,
+                                               delayed[j].asked_at);
+          delayed.erase(delayed.begin() + static_cast<ptrdiff_t>(j));
         }
       }
       RC_ASSERT(hosts[0].Usable(kKey, now) + hosts[1].Usable(kKey, now) <=
@@ -83,22 +84,22 @@
   for (int i = 0; i < 30; ++i) {
     busy.OnDemand(kKey, policy, kStart);
   }
-  const auto wishes = busy.Wishes("idle", policy, kStart);
+  const auto wishes = busy.LoanRequests("idle", policy, kStart);
   REQUIRE(wishes.size() == 1);
   const double rate =
       idle.Grant("busy", kKey, wishes[0].requests_per_second, policy, kStart);
   busy.OnGranted("idle", kKey, rate, policy, kStart);
   CHECK(busy.Usable(kKey, kStart) == doctest::Approx(17.5));
-  const TimePoint later = kStart + policy.loan_time;
+  const TimePoint later = kStart + policy.loan_ttl;
   CHECK(busy.Usable(kKey, later) == doctest::Approx(10));
   CHECK(idle.Usable(kKey, later) == doctest::Approx(10));
 }
 
 /// A host at the interface of the division rules.
 struct DividedHost {
-  explicit DividedHost(const std::string& name) : name(name), keeper(name) {}
+  explicit DividedHost(const std::string& name) : name(name), tracker(name) {}
   std::string name;
-  DivisionKeeper keeper;
+  DivisionTracker tracker;
   /// What it last heard of each host: epoch, and when that was true.
   std::map<std::string, std::pair<uint64_t, TimePoint>> heard;
 };
@@ -113,7 +114,7 @@
     std::vector<DividedHost> hosts(names.begin(), names.end());
     Division stored{1, {"a", "b", "c"}, {}};
     for (DividedHost& host : hosts) {
-      host.keeper.OnDivision(stored, kStart);
+      host.tracker.OnDivision(stored, kStart);
     }
     TimePoint now = kStart;
     std::vector<bool> cut(4, false);
@@ -124,9 +125,9 @@
         cut[host] = !cut[host];
       }
       const auto writer = *rc::gen::inRange<size_t>(0, 4);
-      const DivisionKeeper& knows = hosts[writer].keeper;
-      if (!cut[writer] && knows.IsSettled(now) &&
-          knows.division().epoch == stored.epoch) {
+      const DivisionTracker& writer_tracker = hosts[writer].tracker;
+      if (!cut[writer] && writer_tracker.IsSettled(now) &&
+          writer_tracker.division().epoch == stored.epoch) {
         Division next;
         next.epoch = stored.epoch + 1;
         next.previous_nodes = stored.nodes;
@@ -142,42 +143,42 @@
       for (size_t self = 0; self < hosts.size(); ++self) {
         DividedHost& host = hosts[self];
         if (!cut[self] && *rc::gen::arbitrary<bool>()) {
-          host.keeper.OnDivision(stored, now);
+          host.tracker.OnDivision(stored, now);
         }
         for (size_t other = 0; other < hosts.size(); ++other) {
           if (cut[self] == cut[other] && *rc::gen::arbitrary<bool>()) {
-            host.heard[names[other]] = {hosts[other].keeper.division().epoch,
+            host.heard[names[other]] = {hosts[other].tracker.division().epoch,
                                         now};
           }
         }
-        host.heard[host.name] = {host.keeper.division().epoch, now};
-        const Division& division = host.keeper.division();
+        host.heard[host.name] = {host.tracker.division().epoch, now};
+        const Division& division = host.tracker.division();
         std::vector<TimePoint> times;
         for (const std::string& node : division.nodes) {
-          const auto word = host.heard.find(node);
-          if (word != host.heard.end() &&
-              word->second.first == division.epoch) {
-            times.push_back(word->second.second);
+          const auto entry = host.heard.find(node);
+          if (entry != host.heard.end() &&
+              entry->second.first == division.epoch) {
+            times.push_back(entry->second.second);
           }
         }
         std::sort(times.rbegin(), times.rend());
         const size_t half = (division.nodes.size() + 1) / 2;
         if (times.size() >= half) {
-          host.keeper.OnConfirmed(times[half - 1]);
+          host.tracker.OnConfirmed(times[half - 1]);
         }
         size_t left = 0;
         for (const std::string& node : division.previous_nodes) {
-          const auto word = host.heard.find(node);
-          left +=
-              word != host.heard.end() && word->second.first >= division.epoch;
+          const auto entry = host.heard.find(node);
+          left += entry != host.heard.end() &&
+                  entry->second.first >= division.epoch;
         }
         if (left * 2 > division.previous_nodes.size()) {
-          host.keeper.OnMostLeft(policy, now);
+          host.tracker.OnMajorityLeft(policy, now);
         }
       }
       double sum = 0;
       for (const DividedHost& host : hosts) {
-        sum += host.keeper.Share(policy, now);
+        sum += host.tracker.Share(policy, now);
       }
       RC_ASSERT(sum <= 1.000001);
     }
@@ -188,11 +189,12 @@
   // Callers of the other three are still served: at least half of the hosts
   // confirm the division, and nobody can write a new one.
   const DivisionPolicy policy;
-  DivisionKeeper keeper("a");
-  keeper.OnDivision({1, {"a", "b", "c", "d", "e", "f"}, {}}, kStart);
-  keeper.OnConfirmed(kStart + Seconds(60));
-  CHECK(keeper.Share(policy, kStart + Seconds(60)) == doctest::Approx(1.0 / 6));
-  CHECK(keeper.Share(policy, kStart + Seconds(64)) == 0);
+  DivisionTracker tracker("a");
+  tracker.OnDivision({1, {"a", "b", "c", "d", "e", "f"}, {}}, kStart);
+  tracker.OnConfirmed(kStart + Seconds(60));
+  CHECK(tracker.Share(policy, kStart + Seconds(60)) ==
+        doctest::Approx(1.0 / 6));
+  CHECK(tracker.Share(policy, kStart + Seconds(64)) == 0);
 }
 
 TEST_CASE("a large workspace's backlog does not stand before a small one") {
--- a/tests/backpressure_cold_test.cc
+++ b/tests/backpressure_cold_test.cc
@@ -15,8 +15,8 @@
 /// Entry hosts over servers that all turn cold at one moment, while callers
 /// bring more than the servers bear.
 struct ColdFleet {
-  static constexpr double kBorne = 26;
-  static constexpr Duration kTurn = Milliseconds(2);
+  static constexpr double kCapacityPerSecond = 26;
+  static constexpr Duration kTick = Milliseconds(2);
 
   ColdFleet(size_t host_count, size_t server_count)
       : names(HostNames(host_count)), sent(server_count), random(1) {
@@ -32,54 +32,56 @@
     return host;
   }
 
-  static ServerLife Server(size_t i) { return {"s" + std::to_string(i), 1}; }
+  static ServerInstance Server(size_t i) {
+    return {"s" + std::to_string(i), 1};
+  }
 
-  void Tell(size_t host) {
+  void ReportCold(size_t host) {
     for (size_t i = 0; i < sent.size(); ++i) {
-      hosts[host]->OnCold({Server(i), kBorne, until}, now);
+      hosts[host]->OnCold({Server(i), kCapacityPerSecond, until}, now);
     }
   }
 
   /// Each host hears of the cold servers some time within `learns`, and sends
   /// nothing before; `per_turn` requests come in each turn.
-  void RunUntilWarm(size_t per_turn, Duration learns) {
-    std::vector<TimePoint> hears;
+  void RunUntilWarm(size_t per_tick, Duration learn_window) {
+    std::vector<TimePoint> informed_at;
     for (size_t i = 0; i < hosts.size(); ++i) {
-      hears.push_back(now +
-                      learns * static_cast<int64_t>(random() % 100) / 100);
+      informed_at.push_back(
+          now + learn_window * static_cast<int64_t>(random() % 100) / 100);
     }
-    std::vector<bool> told(hosts.size());
-    for (; now < until; now += kTurn) {
+    std::vector<bool> informed(hosts.size());
+    for (; now < until; now += kTick) {
       for (size_t i = 0; i < hosts.size(); ++i) {
-        if (!told[i] && now >= hears[i]) {
-          told[i] = true;
-          Tell(i);
+        if (!informed[i] && now >= informed_at[i]) {
+          informed[i] = true;
+          ReportCold(i);
         }
       }
       if (random() % 200 == 0) {
         // A host starts again and is told anew.
         const size_t i = random() % hosts.size();
         hosts[i] = MakeHost(i);
-        Tell(i);
-        told[i] = true;
+        ReportCold(i);
+        informed[i] = true;
       }
-      for (size_t i = 0; i < per_turn; ++i) {
-        SendOne(told);
+      for (size_t i = 0; i < per_tick; ++i) {
+        SendOne(informed);
       }
     }
   }
 
   /// A caller that is refused comes back once, at another entry host.
-  void SendOne(const std::vector<bool>& told) {
-    if (!TrySend(told)) {
-      TrySend(told);
+  void SendOne(const std::vector<bool>& informed) {
+    if (!TrySend(informed)) {
+      TrySend(informed);
     }
   }
 
-  bool TrySend(const std::vector<bool>& told) {
+  bool TrySend(const std::vector<bool>& informed) {
     const size_t host = random() % hosts.size();
     const size_t first = random() % sent.size();
-    for (size_t i = 0; told[host] && i < sent.size(); ++i) {
+    for (size_t i = 0; informed[host] && i < sent.size(); ++i) {
       const size_t server = (first + i) % sent.size();
       if (hosts[host]->MaySend(Server(server), now)) {
         hosts[host]->OnSent(Server(server), now);
@@ -90,7 +92,7 @@
     return false;
   }
 
-  size_t MostInSecond() const {
+  size_t MaxInSecond() const {
     size_t most = 0;
     for (const auto& times : sent) {
       size_t begin = 0;
@@ -127,10 +129,11 @@
     ColdFleet fleet(count, 57);
     fleet.RunUntilWarm(4, Milliseconds(300));
     CAPTURE(count);
-    CHECK(static_cast<double>(fleet.MostInSecond()) <= ColdFleet::kBorne);
+    CHECK(static_cast<double>(fleet.MaxInSecond()) <=
+          ColdFleet::kCapacityPerSecond);
     // Cold servers warm up by use, so most of what they bear is used.
     CHECK(static_cast<double>(fleet.Total()) >
-          0.4 * 57 * ColdFleet::kBorne * 3);
+          0.4 * 57 * ColdFleet::kCapacityPerSecond * 3);
   }
 }
 
--- a/tests/backpressure_cost.cc
+++ b/tests/backpressure_cost.cc
@@ -39,7 +39,7 @@
   }
   Backpressure state("front-hall-a-0", {}, 1);
   state.SetFleet(hosts, now);
-  std::vector<ServerLife> servers;
+  std::vector<ServerInstance> servers;
   for (int i = 0; i < kServers; ++i) {
     servers.push_back({"i-0123456" + std::to_string(i), 1796269846484});
     state.OnAnswer({servers.back(), 2.5, now}, now);
@@ -56,12 +56,12 @@
               MicrosecondsOf(100000, [&] {
                 sum += state.MaySend(servers[sum % kServers], now) ? 2U : 1U;
               }));
-  NewsAnswer answer;
-  const size_t at_rest = EncodeNewsAnswer(answer).size();
+  GossipReply answer;
+  const size_t at_rest = EncodeGossipReply(answer).size();
   answer.limits = state.Since(0, now);
   std::printf("words in one answer: %zu, bytes each: %.0f\n",
               answer.limits.words.size(),
-              static_cast<double>(EncodeNewsAnswer(answer).size() - at_rest) /
+              static_cast<double>(EncodeGossipReply(answer).size() - at_rest) /
                   static_cast<double>(answer.limits.words.size()));
   return sum == 0 ? 1 : 0;
 }
--- a/tests/backpressure_test.cc
+++ b/tests/backpressure_test.cc
@@ -37,16 +37,16 @@
 }
 
 /// Says that `server` named `limit` in an answer to a request sent at `sent`.
-LimitReading Named(std::optional<double> limit, TimePoint sent) {
+LimitObservation ObserveLimit(std::optional<double> limit, TimePoint sent) {
   return {{"s", 0}, limit, sent};
 }
 
 TEST_CASE("an answer that was overtaken does not lift a limit") {
   LimitLedger ledger({}, 0);
-  CHECK(ledger.OnAnswer(Named(2, kStart), kStart + Seconds(1)));
-  CHECK_FALSE(ledger.OnAnswer(Named({}, kStart), kStart + Seconds(2)));
+  CHECK(ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1)));
+  CHECK_FALSE(ledger.OnAnswer(ObserveLimit({}, kStart), kStart + Seconds(2)));
   CHECK(ledger.LimitOf({"s", 0}) == 2);
-  CHECK(ledger.OnAnswer(Named({}, kStart + Milliseconds(1500)),
+  CHECK(ledger.OnAnswer(ObserveLimit({}, kStart + Milliseconds(1500)),
                         kStart + Seconds(3)));
   CHECK_FALSE(ledger.LimitOf({"s", 0}).has_value());
 }
@@ -59,12 +59,12 @@
 }
 
 /// Passes on what `to` lacks of `from`, `age` older.
-void Tell(const LimitLedger& from,
-          LimitLedger& to,
-          TimePoint now,
-          uint64_t known = 0) {
-  for (const LimitWord& word : from.Since(known, now).words) {
-    to.OnNews(word, now);
+void SendUpdate(const LimitLedger& from,
+                LimitLedger& to,
+                TimePoint now,
+                uint64_t known = 0) {
+  for (const LimitRecord& record : from.Since(known, now).words) {
+    to.OnPeerUpdate(record, now);
   }
 }
 
@@ -72,25 +72,25 @@
   LimitLedger first({}, 0);
   LimitLedger second({}, 0);
   LimitLedger third({}, 0);
-  first.OnAnswer(Named(2, kStart), kStart);
-  Tell(first, second, kStart + Milliseconds(100));
-  Tell(second, third, kStart + Milliseconds(200));
-  first.OnAnswer(Named({}, kStart + Seconds(1)), kStart + Seconds(1));
-  Tell(first, third, kStart + Seconds(2));
-  Tell(second, third, kStart + Seconds(2));
+  first.OnAnswer(ObserveLimit(2, kStart), kStart);
+  SendUpdate(first, second, kStart + Milliseconds(100));
+  SendUpdate(second, third, kStart + Milliseconds(200));
+  first.OnAnswer(ObserveLimit({}, kStart + Seconds(1)), kStart + Seconds(1));
+  SendUpdate(first, third, kStart + Seconds(2));
+  SendUpdate(second, third, kStart + Seconds(2));
   CHECK_FALSE(third.LimitOf({"s", 0}).has_value());
-  Tell(third, second, kStart + Seconds(3));
+  SendUpdate(third, second, kStart + Seconds(3));
   CHECK_FALSE(second.LimitOf({"s", 0}).has_value());
 }
 
 TEST_CASE("a host that knows all words is told none") {
   LimitLedger ledger({}, 500);
-  ledger.OnAnswer(Named(2, kStart), kStart);
-  const LimitNews news = ledger.Since(0, kStart);
-  CHECK(news.words.size() == 1);
-  CHECK(ledger.Since(news.revision, kStart).words.empty());
-  ledger.OnAnswer(Named(2, kStart), kStart + Seconds(1));
-  CHECK(ledger.Since(news.revision, kStart).words.empty());
+  ledger.OnAnswer(ObserveLimit(2, kStart), kStart);
+  const LimitUpdate update = ledger.Since(0, kStart);
+  CHECK(update.words.size() == 1);
+  CHECK(ledger.Since(update.revision, kStart).words.empty());
+  ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1));
+  CHECK(ledger.Since(update.revision, kStart).words.empty());
   // Told by an earlier process of the host.
   CHECK(ledger.Since(9000, kStart).words.size() == 1);
 }
@@ -99,18 +99,18 @@
   const LimitPolicy policy;
   LimitLedger first(policy, 0);
   LimitLedger second(policy, 0);
-  first.OnAnswer(Named(2, kStart), kStart);
-  Tell(first, second, kStart);
-  const TimePoint later = kStart + policy.limit_life - Seconds(1);
+  first.OnAnswer(ObserveLimit(2, kStart), kStart);
+  SendUpdate(first, second, kStart);
+  const TimePoint later = kStart + policy.limit_ttl - Seconds(1);
   const uint64_t known = first.revision();
-  first.OnAnswer(Named(2, later), later);
+  first.OnAnswer(ObserveLimit(2, later), later);
   CHECK(first.revision() > known);
-  Tell(first, second, later + Milliseconds(100));
+  SendUpdate(first, second, later + Milliseconds(100));
   const uint64_t passed_on = second.revision();
-  Tell(second, first, later + Milliseconds(200));
-  Tell(first, second, later + Milliseconds(300));
+  SendUpdate(second, first, later + Milliseconds(200));
+  SendUpdate(first, second, later + Milliseconds(300));
   CHECK(second.revision() == passed_on);
-  second.ForgetOld(kStart + policy.limit_life + Seconds(1));
+  second.ForgetOld(kStart + policy.limit_ttl + Seconds(1));
   CHECK(second.LimitOf({"s", 0}).has_value());
 }
 
@@ -125,7 +125,7 @@
     /// Servers that name a limit, and which.
     size_t limited = 2;
     double limit = 2;
-    Duration news = Milliseconds(400);
+    Duration update_delay = Milliseconds(400);
   };
 
   explicit Replay(const Load& load) : m_load(load), m_arrivals(load.servers) {
@@ -143,7 +143,7 @@
     for (TimePoint now = kStart + begin; now < kStart + end;
          now += FromSeconds(gap(m_random))) {
       Deliver(now);
-      Ask(now, names_limit);
+      PlaceRequest(now, names_limit);
     }
   }
 
@@ -153,26 +153,27 @@
     const auto names = HostNames(m_load.hosts);
     m_hosts[index] = Backpressure(names[index], {}, ++m_starts * 1000);
     m_hosts[index].SetFleet(names, now);
-    std::erase_if(
-        m_told, [index](const auto& row) { return row.first.first == index; });
+    std::erase_if(m_first_reported, [index](const auto& row) {
+      return row.first.first == index;
+    });
     const size_t other = (index + 1) % m_hosts.size();
-    for (const LimitWord& word : m_hosts[other].Since(0, now).words) {
-      m_news.push_back({now + m_load.news, word});
+    for (const LimitRecord& record : m_hosts[other].Since(0, now).words) {
+      m_gossip.push_back({now + m_load.update_delay, record});
     }
   }
 
   /// Which arrivals count: all, or those of hosts that had passed on the limit
   /// half a second before or earlier.
-  enum class Counted { kAll, kTold };
+  enum class Counted { kAll, kReported };
   /// The most that came to a limited server in any four seconds from `from` on.
-  size_t MostArrivals(Duration from, Counted counted) const {
+  size_t MaxArrivals(Duration from, Counted counted) const {
     size_t most = 0;
     for (size_t server = 0; server < m_load.limited; ++server) {
       std::deque<TimePoint> window;
       for (const Arrival& arrival : m_arrivals[server]) {
         const TimePoint at = arrival.at;
         if (at < kStart + from ||
-            (counted == Counted::kTold && !arrival.told)) {
+            (counted == Counted::kReported && !arrival.reported)) {
           continue;
         }
         window.push_back(at);
@@ -199,29 +200,29 @@
   std::vector<Backpressure>& hosts() { return m_hosts; }
 
  private:
-  static constexpr Duration kToldBefore = Milliseconds(500);
+  static constexpr Duration kReportedBefore = Milliseconds(500);
 
-  struct News {
+  struct PendingUpdate {
     TimePoint at;
-    LimitWord word;
+    LimitRecord record;
   };
   struct Arrival {
     TimePoint at;
-    bool told = false;
+    bool reported = false;
   };
 
-  ServerLife Life(size_t server) const {
+  ServerInstance InstanceAt(size_t server) const {
     return {"s" + std::to_string(server), 0};
   }
 
   void Deliver(TimePoint now) {
-    while (!m_news.empty() && m_news.front().at <= now) {
-      LimitWord word = m_news.front().word;
-      word.age = m_load.news;
+    while (!m_gossip.empty() && m_gossip.front().at <= now) {
+      LimitRecord record = m_gossip.front().record;
+      record.age = m_load.update_delay;
       for (Backpressure& host : m_hosts) {
-        host.OnNews(word, now);
+        host.OnPeerUpdate(record, now);
       }
-      m_news.pop_front();
+      m_gossip.pop_front();
     }
     while (!m_ends.empty() && m_ends.front().first <= now) {
       --m_open[m_ends.front().second];
@@ -229,39 +230,41 @@
     }
   }
 
-  void Ask(TimePoint now, bool names_limit) {
+  void PlaceRequest(TimePoint now, bool names_limit) {
     const size_t index = m_random() % m_hosts.size();
     Backpressure& host = m_hosts[index];
-    std::vector<size_t> able;
+    std::vector<size_t> eligible;
     const size_t start = m_random() % m_load.servers;
-    for (size_t i = 0; i < m_load.servers && able.size() < 3; ++i) {
+    for (size_t i = 0; i < m_load.servers && eligible.size() < 3; ++i) {
       const size_t server = (start + i) % m_load.servers;
-      if (host.MaySend(Life(server), now)) {
-        able.push_back(server);
+      if (host.MaySend(InstanceAt(server), now)) {
+        eligible.push_back(server);
       }
     }
-    if (able.empty()) {
+    if (eligible.empty()) {
       ++m_refused;
       return;
     }
     const size_t chosen = *std::min_element(
-        able.begin(), able.end(), [this](size_t left, size_t right) {
+        eligible.begin(), eligible.end(), [this](size_t left, size_t right) {
           return m_open[left] < m_open[right];
         });
-    host.OnSent(Life(chosen), now);
-    const auto told = m_told.find({index, chosen});
+    host.OnSent(InstanceAt(chosen), now);
+    const auto reported = m_first_reported.find({index, chosen});
     m_arrivals[chosen].push_back(
-        {now, told != m_told.end() && now - told->second >= kToldBefore});
+        {now, reported != m_first_reported.end() &&
+                  now - reported->second >= kReportedBefore});
     ++m_open[chosen];
     m_ends.push_back({now + Seconds(1), chosen});
-    LimitReading reading{Life(chosen), {}, now};
+    LimitObservation observation{InstanceAt(chosen), {}, now};
     if (names_limit && chosen < m_load.limited) {
-      reading.limit = m_load.limit;
-      m_told.try_emplace({index, chosen}, now);
+      observation.limit = m_load.limit;
+      m_first_reported.try_emplace({index, chosen}, now);
     }
-    if (host.OnAnswer(reading, now + Milliseconds(1))) {
-      m_news.push_back(
-          {now + m_load.news, {reading.server, reading.limit, Duration(0)}});
+    if (host.OnAnswer(observation, now + Milliseconds(1))) {
+      m_gossip.push_back(
+          {now + m_load.update_delay,
+           {observation.server, observation.limit, Duration(0)}});
     }
   }
 
@@ -270,16 +273,16 @@
   std::vector<Backpressure> m_hosts;
   std::vector<std::vector<Arrival>> m_arrivals;
   /// When each host first passed on an answer with the limit of each server.
-  std::map<std::pair<size_t, size_t>, TimePoint> m_told;
+  std::map<std::pair<size_t, size_t>, TimePoint> m_first_reported;
   std::vector<int> m_open;
-  std::deque<News> m_news;
+  std::deque<PendingUpdate> m_gossip;
   std::deque<std::pair<TimePoint, size_t>> m_ends;
   size_t m_refused = 0;
   uint64_t m_starts = 0;
 };
 
 /// What the platform allows of a limit in four seconds.
-size_t MostInWindow(double limit) {
+size_t MaxInWindow(double limit) {
   return static_cast<size_t>(1.5 * limit * 4 + 5);
 }
 
@@ -295,8 +298,8 @@
       replay.Run(Seconds(8), Seconds(40), true);
       CAPTURE(hosts);
       CAPTURE(limit);
-      CHECK(replay.MostArrivals(Seconds(11), Replay::Counted::kAll) <=
-            MostInWindow(limit));
+      CHECK(replay.MaxArrivals(Seconds(11), Replay::Counted::kAll) <=
+            MaxInWindow(limit));
       CHECK(replay.refused() == 0);
     }
   }
@@ -318,8 +321,8 @@
       }
       CAPTURE(hosts);
       CAPTURE(limit);
-      CHECK(replay.MostArrivals(Seconds(11), Replay::Counted::kTold) <=
-            MostInWindow(limit));
+      CHECK(replay.MaxArrivals(Seconds(11), Replay::Counted::kReported) <=
+            MaxInWindow(limit));
     }
   }
 }
@@ -358,13 +361,13 @@
   Replay::Load load;
   Replay replay(load);
   replay.Run(Duration(0), Seconds(2), true);
-  Backpressure& deaf = replay.hosts().front();
-  deaf.SetFleet({}, kStart + Seconds(5));
+  Backpressure& isolated = replay.hosts().front();
+  isolated.SetFleet({}, kStart + Seconds(5));
   double rate = 0;
   for (TimePoint now = kStart + Seconds(5); now < kStart + Seconds(9);
        now += Milliseconds(10)) {
-    if (deaf.MaySend({"s0", 0}, now)) {
-      deaf.OnSent({"s0", 0}, now);
+    if (isolated.MaySend({"s0", 0}, now)) {
+      isolated.OnSent({"s0", 0}, now);
       rate += 0.25;
     }
   }
@@ -373,18 +376,18 @@
 
 TEST_CASE("a server that asked for rest gets nothing until it is over") {
   Backpressure host("e0", {}, 0);
-  const ServerLife server{"s", 0};
+  const ServerInstance server{"s", 0};
   CHECK(host.IsIdle());
-  host.OnRest(server, Seconds(3), kStart);
+  host.OnBackoff(server, Seconds(3), kStart);
   CHECK_FALSE(host.IsIdle());
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2999)));
   CHECK(host.UntilSend(server, kStart + Seconds(1)) == Seconds(2));
   CHECK(host.MaySend(server, kStart + Seconds(3)));
   // A shorter one that comes later does not end the longer one.
-  host.OnRest(server, Seconds(1), kStart + Seconds(1));
+  host.OnBackoff(server, Seconds(1), kStart + Seconds(1));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
   // An answer without a limit is no sign that the rest is over.
-  host.OnAnswer(Named({}, kStart + Seconds(1)), kStart + Seconds(2));
+  host.OnAnswer(ObserveLimit({}, kStart + Seconds(1)), kStart + Seconds(2));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
   host.SetFleet({}, kStart + Seconds(4));
   CHECK(host.IsIdle());
@@ -392,11 +395,11 @@
 
 TEST_CASE("rest and a limit both hold") {
   Backpressure host("e0", {}, 0);
-  const ServerLife server{"s", 0};
-  host.OnAnswer(Named(1, kStart), kStart);
-  host.OnRest(server, Milliseconds(200), kStart);
+  const ServerInstance server{"s", 0};
+  host.OnAnswer(ObserveLimit(1, kStart), kStart);
+  host.OnBackoff(server, Milliseconds(200), kStart);
   CHECK(host.UntilSend(server, kStart) == Seconds(1));
-  host.OnRest(server, Seconds(5), kStart);
+  host.OnBackoff(server, Seconds(5), kStart);
   CHECK(host.UntilSend(server, kStart) == Seconds(5));
 }
 
--- a/tests/dispatch_cost.cc
+++ b/tests/dispatch_cost.cc
@@ -31,18 +31,18 @@
 
 template <typename Action>
 double Microseconds(int times, Action action) {
-  const auto began = std::chrono::steady_clock::now();
+  const auto begin = std::chrono::steady_clock::now();
   for (int i = 0; i < times; ++i) {
     action();
   }
-  const std::chrono::duration<double, std::micro> took =
-      std::chrono::steady_clock::now() - began;
-  return took.count() / times;
+  const std::chrono::duration<double, std::micro> elapsed =
+      std::chrono::steady_clock::now() - begin;
+  return elapsed.count() / times;
 }
 
 /// A fleet whose groups were formed, and the directory that shows it.
-struct Grown {
-  explicit Grown(int hosts) : fleet(1) {
+struct SteadyFleet {
+  explicit SteadyFleet(int hosts) : fleet(1) {
     for (int i = 0; i < hosts; ++i) {
       fleet.AddHost("d" + std::to_string(i / kDomainHosts), false, "");
     }
@@ -50,7 +50,7 @@
     for (TimePoint now = kStart; now < kStart + Seconds(25);
          now += Milliseconds(200)) {
       fleet.Step(now);
-      fleet.Show(directory, findings, now);
+      fleet.ReportTo(directory, probe_results, now);
       for (const PlannedOrder& planned : Pass(now)) {
         fleet.Send(planned, now, 0);
       }
@@ -58,7 +58,7 @@
   }
 
   std::vector<PlannedOrder> Pass(TimePoint now) {
-    const ReplicaInput input{directory, findings, service, true, true, {}};
+    const ReplicaInput input{directory, probe_results, service, true, true, {}};
     return PlanReplicas(input, ReplicaPolicy{}, memory, now);
   }
 
@@ -78,30 +78,30 @@
   FakeFleet fleet;
   ServiceProfile service = MakeService();
   ServerDirectory directory{DirectoryPolicy{}};
-  HostFindings findings;
+  HostProbeResults probe_results;
   ReplicaMemory memory;
 };
 
 void Print(int hosts) {
-  Grown grown(hosts);
+  SteadyFleet steady(hosts);
   CatalogParts parts;
-  parts.services["llm"] = grown.service;
+  parts.services["llm"] = steady.service;
   const Catalog catalog(std::move(parts));
-  const auto targets = grown.Targets();
-  DispatchBoard board(DispatchPolicy{}, 1);
-  board.SetTargets(targets, catalog, kStart);
+  const auto targets = steady.Targets();
+  TargetSelector selector(DispatchPolicy{}, 1);
+  selector.SetTargets(targets, catalog, kStart);
   DispatchQuery query;
   query.service = "llm";
   query.model = "small";
   query.prompt_tokens = 700;
-  query.time_to_aim = Milliseconds(300);
+  query.time_to_slo = Milliseconds(300);
   query.time_left = Seconds(6);
   const double choice =
-      Microseconds(200000, [&] { board.Choose(query, kStart); });
+      Microseconds(200000, [&] { selector.Choose(query, kStart); });
   const double refresh = Microseconds(
-      20, [&] { board.SetTargets(grown.Targets(), catalog, kStart); });
+      20, [&] { selector.SetTargets(steady.Targets(), catalog, kStart); });
   const double pass =
-      Microseconds(20, [&] { grown.Pass(kStart + Seconds(26)); });
+      Microseconds(20, [&] { steady.Pass(kStart + Seconds(26)); });
   std::printf("| %d | %zu | %.2f | %.0f | %.0f |\n", hosts, targets.size(),
               choice, refresh, pass);
 }
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -54,7 +54,7 @@
   query.service = "llm";
   query.model = "m";
   query.prompt_tokens = prompt_tokens;
-  query.time_to_aim = Milliseconds(300);
+  query.time_to_slo = Milliseconds(300);
   query.time_left = Seconds(6);
   return query;
 }
@@ -66,23 +66,23 @@
   return policy;
 }
 
-struct Board {
-  explicit Board(int targets, DispatchPolicy policy = LookAtAll())
-      : board(policy, 1) {
-    board.SetTargets(MakeTargets(targets, "m"), MakeCatalog(), kStart);
+struct SelectorFixture {
+  explicit SelectorFixture(int targets, DispatchPolicy policy = LookAtAll())
+      : selector(policy, 1) {
+    selector.SetTargets(MakeTargets(targets, "m"), MakeCatalog(), kStart);
   }
 
   std::string Place(const DispatchQuery& query, TimePoint now = kStart) {
-    const auto decision = board.Choose(query, now);
+    const auto decision = selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
     if (choice == nullptr) {
       return "";
     }
-    board.OnSent(choice->target.id, query.prompt_tokens);
+    selector.OnSent(choice->target.id, query.prompt_tokens);
     return choice->target.id;
   }
 
-  DispatchBoard board;
+  TargetSelector selector;
 };
 
 }  // namespace filbertrack
--- a/tests/dispatch_test.cc
+++ b/tests/dispatch_test.cc
@@ -13,10 +13,10 @@
 namespace {
 
 TEST_CASE("requests spread evenly over equal targets") {
-  Board board(6);
+  SelectorFixture fixture(6);
   std::map<std::string, int> placed;
   for (int i = 0; i < 36; ++i) {
-    ++placed[board.Place(MakeQuery())];
+    ++placed[fixture.Place(MakeQuery())];
   }
   for (const auto& [target, count] : placed) {
     CHECK(count == 6);
@@ -24,40 +24,42 @@
 }
 
 TEST_CASE("work of other entry hosts counts like our own") {
-  Board board(2);
-  board.board.SetRemoteLoads({{"t0", {10, 5000}}}, 0, kStart);
+  SelectorFixture fixture(2);
+  fixture.selector.SetRemoteLoads({{"t0", {10, 5000}}}, 0, kStart);
   for (int i = 0; i < 5; ++i) {
-    CHECK(board.Place(MakeQuery()) == "t1");
+    CHECK(fixture.Place(MakeQuery()) == "t1");
   }
-  board.board.SetRemoteLoads({}, 0, kStart);
-  CHECK(board.Place(MakeQuery()) == "t0");
+  fixture.selector.SetRemoteLoads({}, 0, kStart);
+  CHECK(fixture.Place(MakeQuery()) == "t0");
 }
 
 TEST_CASE("a request that was answered leaves the board") {
   // Otherwise a target looks busier with every answer, until its requests are
   // turned away although it is idle.
-  Board board(1);
+  SelectorFixture fixture(1);
   for (int i = 0; i < 500; ++i) {
-    REQUIRE(board.Place(MakeQuery()) == "t0");
-    board.board.OnFirstEvent("t0", 714, Milliseconds(50), Milliseconds(50));
-    board.board.OnEnded("t0", 714, false, DispatchResult::kAnswered, kStart);
+    REQUIRE(fixture.Place(MakeQuery()) == "t0");
+    fixture.selector.OnFirstEvent("t0", 714, Milliseconds(50),
+                                  Milliseconds(50));
+    fixture.selector.OnEnded("t0", 714, false, DispatchResult::kAnswered,
+                             kStart);
   }
-  CHECK(board.board.OwnLoads().empty());
+  CHECK(fixture.selector.OwnLoads().empty());
 }
 
 TEST_CASE("a target that fails is left out, longer with each failure") {
-  Board board(3);
+  SelectorFixture fixture(3);
   for (int i = 0; i < 3; ++i) {
-    board.board.OnSent("t0", 1);
-    board.board.OnEnded("t0", 1, true, DispatchResult::kFailed, kStart);
+    fixture.selector.OnSent("t0", 1);
+    fixture.selector.OnEnded("t0", 1, true, DispatchResult::kFailed, kStart);
   }
   for (int i = 0; i < 12; ++i) {
-    CHECK(board.Place(MakeQuery(), kStart + Milliseconds(600)) != "t0");
+    CHECK(fixture.Place(MakeQuery(), kStart + Milliseconds(600)) != "t0");
   }
   // 300 ms, doubled twice.
   std::set<std::string> later;
   for (int i = 0; i < 12; ++i) {
-    later.insert(board.Place(MakeQuery(), kStart + Milliseconds(1300)));
+    later.insert(fixture.Place(MakeQuery(), kStart + Milliseconds(1300)));
   }
   CHECK(later.contains("t0"));
 }
@@ -65,17 +67,17 @@
 TEST_CASE("when most targets fail at once all stay in use") {
   // What fails is then hardly the targets; leaving them out would turn
   // everybody away.
-  Board board(3);
+  SelectorFixture fixture(3);
   for (const char* id : {"t0", "t1", "t2"}) {
-    board.board.OnSent(id, 1);
-    board.board.OnEnded(id, 1, true, DispatchResult::kFailed, kStart);
+    fixture.selector.OnSent(id, 1);
+    fixture.selector.OnEnded(id, 1, true, DispatchResult::kFailed, kStart);
   }
-  CHECK(board.Place(MakeQuery()) != "");
+  CHECK(fixture.Place(MakeQuery()) != "");
 }
 
 TEST_CASE("nothing serves: refused at once, with the time of a repair") {
-  Board board(0);
-  const auto decision = board.board.Choose(MakeQuery(), kStart);
+  SelectorFixture fixture(0);
+  const auto decision = fixture.selector.Choose(MakeQuery(), kStart);
   const auto* refusal = std::get_if<DispatchRefusal>(&decision);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->reason == DispatchDenial::kNoneServing);
@@ -83,28 +85,29 @@
 }
 
 TEST_CASE("a slow target gets less") {
-  Board board(2);
+  SelectorFixture fixture(2);
   for (int i = 0; i < 30; ++i) {
-    board.board.OnSent("t0", 714);
-    board.board.OnFirstEvent("t0", 714, board.board.Predict("t0", 714),
-                             Seconds(1));
-    board.board.OnEnded("t0", 714, false, DispatchResult::kAnswered, kStart);
+    fixture.selector.OnSent("t0", 714);
+    fixture.selector.OnFirstEvent(
+        "t0", 714, fixture.selector.Predict("t0", 714), Seconds(1));
+    fixture.selector.OnEnded("t0", 714, false, DispatchResult::kAnswered,
+                             kStart);
   }
   int slow = 0;
   for (int i = 0; i < 10; ++i) {
-    slow += board.Place(MakeQuery()) == "t0" ? 1 : 0;
+    slow += fixture.Place(MakeQuery()) == "t0" ? 1 : 0;
   }
   CHECK(slow <= 2);
 }
 
 /// First events at places that are free come so much later than predicted.
-void LearnLate(Board& board, Duration late, int times) {
+void LearnLate(SelectorFixture& fixture, Duration late, int times) {
   for (int i = 0; i < times; ++i) {
     const std::string id = "t" + std::to_string(i % 20);
-    board.board.OnSent(id, 714);
-    const Duration predicted = board.board.Predict(id, 714);
-    board.board.OnFirstEvent(id, 714, predicted, predicted + late);
-    board.board.OnEnded(id, 714, false, DispatchResult::kAnswered, kStart);
+    fixture.selector.OnSent(id, 714);
+    const Duration predicted = fixture.selector.Predict(id, 714);
+    fixture.selector.OnFirstEvent(id, 714, predicted, predicted + late);
+    fixture.selector.OnEnded(id, 714, false, DispatchResult::kAnswered, kStart);
   }
 }
 
@@ -112,74 +115,74 @@
   // Each first event took 90 ms more than the engine's profile says. A host of
   // a large fleet sends to one target every few seconds, so that it let callers
   // in at full targets for seconds, as if 90 ms more were left to wait there.
-  Board board(20);
-  const Duration before = board.board.Predict("t19", 714);
-  LearnLate(board, Milliseconds(90), 15);
-  CHECK(board.board.Predict("t19", 714) > before + Milliseconds(60));
+  SelectorFixture fixture(20);
+  const Duration before = fixture.selector.Predict("t19", 714);
+  LearnLate(fixture, Milliseconds(90), 15);
+  CHECK(fixture.selector.Predict("t19", 714) > before + Milliseconds(60));
 }
 
 TEST_CASE("a target that stands still says nothing of the others") {
   // A group lost a member: its callers wait for five seconds. Taken for the
   // load of all, it would have everybody turned away.
-  Board board(20);
-  const Duration before = board.board.Predict("t19", 714);
-  LearnLate(board, Seconds(5), 15);
-  CHECK(board.board.Predict("t19", 714) == before);
+  SelectorFixture fixture(20);
+  const Duration before = fixture.selector.Predict("t19", 714);
+  LearnLate(fixture, Seconds(5), 15);
+  CHECK(fixture.selector.Predict("t19", 714) == before);
 }
 
 TEST_CASE("late first events at full targets tell of requests nobody told of") {
   // Other hosts fill the last places before they can say so. From what its own
   // callers waited the host learns how many there are on the average, and turns
   // away what has no place; places that are free are not affected.
-  Board board(20);
+  SelectorFixture fixture(20);
   std::map<std::string, TargetLoad, std::less<>> loads;
   for (int i = 0; i < 20; ++i) {
     loads["t" + std::to_string(i)] = {17, 0};
   }
-  board.board.SetRemoteLoads(loads, 0, kStart);
-  REQUIRE_FALSE(board.Place(MakeQuery()).empty());
-  LearnLate(board, Milliseconds(250), 15);
-  CHECK(board.Place(MakeQuery()).empty());
-  board.board.SetRemoteLoads({}, 0, kStart);
-  CHECK_FALSE(board.Place(MakeQuery()).empty());
+  fixture.selector.SetRemoteLoads(loads, 0, kStart);
+  REQUIRE_FALSE(fixture.Place(MakeQuery()).empty());
+  LearnLate(fixture, Milliseconds(250), 15);
+  CHECK(fixture.Place(MakeQuery()).empty());
+  fixture.selector.SetRemoteLoads({}, 0, kStart);
+  CHECK_FALSE(fixture.Place(MakeQuery()).empty());
 }
 
 TEST_CASE("a request that is late already is served where a place is free") {
   // Its first target did not take it and its aim has passed. It makes nobody
   // wait; turned away, its caller would come back later still.
-  Board board(3);
-  board.board.SetRemoteLoads({{"t0", {5, 0}}, {"t1", {5, 0}}, {"t2", {5, 0}}},
-                             0, kStart);
+  SelectorFixture fixture(3);
+  fixture.selector.SetRemoteLoads(
+      {{"t0", {5, 0}}, {"t1", {5, 0}}, {"t2", {5, 0}}}, 0, kStart);
   auto late = MakeQuery();
-  late.time_to_aim = Milliseconds(-100);
-  CHECK_FALSE(board.Place(late).empty());
-  board.board.SetRemoteLoads(
+  late.time_to_slo = Milliseconds(-100);
+  CHECK_FALSE(fixture.Place(late).empty());
+  fixture.selector.SetRemoteLoads(
       {{"t0", {17, 0}}, {"t1", {17, 0}}, {"t2", {17, 0}}}, 0, kStart);
-  CHECK(board.Place(late).empty());
+  CHECK(fixture.Place(late).empty());
 }
 
 TEST_CASE("the time of a plain service is learned") {
   // A service that answers in 6 ms was taken for one of 30 ms or more, so that
   // callers with an aim of 40 ms were turned away from a server with two
   // requests in its queue.
-  DispatchBoard board(LookAtAll(), 1);
+  TargetSelector selector(LookAtAll(), 1);
   auto targets = MakeTargets(1, "");
   targets.front().slots = 1;
-  board.SetTargets(targets, MakeCatalog(), kStart);
+  selector.SetTargets(targets, MakeCatalog(), kStart);
   for (int i = 0; i < 60; ++i) {
-    const Duration predicted = board.Predict("t0", 0);
-    board.OnSent("t0", 0);
-    board.OnFirstEvent("t0", 0, predicted, Milliseconds(6));
-    board.OnEnded("t0", 0, false, DispatchResult::kAnswered, kStart);
+    const Duration predicted = selector.Predict("t0", 0);
+    selector.OnSent("t0", 0);
+    selector.OnFirstEvent("t0", 0, predicted, Milliseconds(6));
+    selector.OnEnded("t0", 0, false, DispatchResult::kAnswered, kStart);
   }
-  CHECK(board.Predict("t0", 0) < Milliseconds(8));
-  board.OnSent("t0", 0);
-  board.OnSent("t0", 0);
+  CHECK(selector.Predict("t0", 0) < Milliseconds(8));
+  selector.OnSent("t0", 0);
+  selector.OnSent("t0", 0);
   DispatchQuery query;
   query.service = "plain";
-  query.time_to_aim = Milliseconds(40);
+  query.time_to_slo = Milliseconds(40);
   query.time_left = Seconds(1);
-  CHECK(std::holds_alternative<DispatchChoice>(board.Choose(query, kStart)));
+  CHECK(std::holds_alternative<DispatchChoice>(selector.Choose(query, kStart)));
 }
 
 struct ReplayResult {
@@ -191,7 +194,7 @@
 /// A burst: twice the capacity of four groups for three seconds, then half.
 ReplayResult ReplayBurst(DispatchPolicy policy) {
   constexpr int kTargets = 4;
-  Board board(kTargets, policy);
+  SelectorFixture fixture(kTargets, policy);
   std::vector<FakeEngine> engines(kTargets);
   std::map<int, std::string> target_of;
   std::map<int, Duration> predicted;
@@ -216,13 +219,13 @@
     if (arrival <= engine->next) {
       const double rate = arrival - kStart < Seconds(3) ? 116 : 29;
       const auto query = MakeQuery();
-      const auto decision = board.board.Choose(query, arrival);
+      const auto decision = fixture.selector.Choose(query, arrival);
       ++result.offered;
       ++number;
       if (const auto* choice = std::get_if<DispatchChoice>(&decision)) {
         const auto index =
             static_cast<size_t>(std::stoi(choice->target.id.substr(1)));
-        board.board.OnSent(choice->target.id, query.prompt_tokens);
+        fixture.selector.OnSent(choice->target.id, query.prompt_tokens);
         FakeEngine& chosen = engines[index];
         if (chosen.waiting.empty() && chosen.running.empty()) {
           // An engine that idled begins now.
@@ -245,14 +248,14 @@
     engine->next += engine->Pass(
         now,
         [&](const FakeEngine::Request& request, TimePoint at) {
-          board.board.OnFirstEvent(target_of[request.number], 714,
-                                   predicted[request.number],
-                                   at - request.arrived);
+          fixture.selector.OnFirstEvent(target_of[request.number], 714,
+                                        predicted[request.number],
+                                        at - request.arrived);
           result.on_time += at - request.arrived <= Milliseconds(300) ? 1 : 0;
         },
         [&](const FakeEngine::Request& request, TimePoint at) {
-          board.board.OnEnded(target_of[request.number], 714, false,
-                              DispatchResult::kAnswered, at);
+          fixture.selector.OnEnded(target_of[request.number], 714, false,
+                                   DispatchResult::kAnswered, at);
         });
   }
 }
@@ -264,10 +267,10 @@
   constexpr int kTargets = 10;
   DispatchPolicy policy;
   policy.candidates = candidates;
-  std::vector<std::unique_ptr<DispatchBoard>> boards;
+  std::vector<std::unique_ptr<TargetSelector>> boards;
   for (int host = 0; host < kHosts; ++host) {
     boards.push_back(
-        std::make_unique<DispatchBoard>(policy, static_cast<uint64_t>(host)));
+        std::make_unique<TargetSelector>(policy, static_cast<uint64_t>(host)));
     boards.back()->SetTargets(MakeTargets(kTargets, "m"), MakeCatalog(),
                               kStart);
     // All hosts heard the same: one target is a little less busy.
@@ -278,8 +281,8 @@
     boards.back()->SetRemoteLoads(loads, 0, kStart);
   }
   std::map<std::string, int> placed;
-  for (const auto& board : boards) {
-    const auto decision = board->Choose(MakeQuery(), kStart);
+  for (const auto& selector : boards) {
+    const auto decision = selector->Choose(MakeQuery(), kStart);
     ++placed[std::get<DispatchChoice>(decision).target.id];
   }
   int most = 0;
@@ -303,8 +306,8 @@
   // the burst; with it, those who are taken are on time and the others are
   // told at once.
   DispatchPolicy open;
-  open.aim_slack = 1000;
-  open.full_aim_slack = 1000;
+  open.slo_factor = 1000;
+  open.saturated_slo_factor = 1000;
   const ReplayResult unlimited = ReplayBurst(open);
   const ReplayResult limited = ReplayBurst(DispatchPolicy{});
   CHECK(limited.refused > 0);
@@ -320,15 +323,15 @@
   DispatchPolicy drawn;
   drawn.looks_wider = false;
   const auto refused = [](DispatchPolicy policy) {
-    Board board(20, policy);
+    SelectorFixture fixture(20, policy);
     std::map<std::string, TargetLoad, std::less<>> loads;
     for (int i = 3; i < 20; ++i) {
       loads["t" + std::to_string(i)] = {40, 0};
     }
-    board.board.SetRemoteLoads(loads, 0, kStart);
+    fixture.selector.SetRemoteLoads(loads, 0, kStart);
     int count = 0;
     for (int i = 0; i < 40; ++i) {
-      count += board.Place(MakeQuery()).empty() ? 1 : 0;
+      count += fixture.Place(MakeQuery()).empty() ? 1 : 0;
     }
     return count;
   };
@@ -340,33 +343,34 @@
 TEST_CASE("pressure tells what is asked of a model, refusals included") {
   // A model whose slots are all taken looks the same whether callers are turned
   // away or not; the planner has to tell the two apart.
-  Board board(2);
-  CHECK_FALSE(board.board.Pressure("llm", "other", kStart).has_value());
-  CHECK(*board.board.Pressure("llm", "m", kStart) == 0);
-  board.board.SetRemoteLoads({{"t0", {17, 0}}, {"t1", {17, 0}}}, 0, kStart);
-  CHECK(*board.board.Pressure("llm", "m", kStart) == doctest::Approx(1));
+  SelectorFixture fixture(2);
+  CHECK_FALSE(fixture.selector.Pressure("llm", "other", kStart).has_value());
+  CHECK(*fixture.selector.Pressure("llm", "m", kStart) == 0);
+  fixture.selector.SetRemoteLoads({{"t0", {17, 0}}, {"t1", {17, 0}}}, 0,
+                                  kStart);
+  CHECK(*fixture.selector.Pressure("llm", "m", kStart) == doctest::Approx(1));
   auto late = MakeQuery();
-  late.time_to_aim = Milliseconds(1);
+  late.time_to_slo = Milliseconds(1);
   for (int i = 0; i < 10; ++i) {
-    REQUIRE(board.Place(late).empty());
+    REQUIRE(fixture.Place(late).empty());
   }
-  CHECK(*board.board.Pressure("llm", "m", kStart) == doctest::Approx(3));
-  CHECK(*board.board.Pressure("llm", "m", kStart + Seconds(4)) ==
+  CHECK(*fixture.selector.Pressure("llm", "m", kStart) == doctest::Approx(3));
+  CHECK(*fixture.selector.Pressure("llm", "m", kStart + Seconds(4)) ==
         doctest::Approx(1));
 }
 
 /// Requests that 70 hosts take at once for 40 targets of 17 slots, each host
 /// 20 of them, before any has heard of another's work.
-int TakenAfterStart(size_t unheard) {
+int TakenAfterStart(size_t unreported_hosts) {
   int taken = 0;
   for (uint64_t host = 0; host < 70; ++host) {
-    DispatchBoard board(DispatchPolicy{}, host);
-    board.SetTargets(MakeTargets(40, "m"), MakeCatalog(), kStart);
+    TargetSelector selector(DispatchPolicy{}, host);
+    selector.SetTargets(MakeTargets(40, "m"), MakeCatalog(), kStart);
     for (int i = 0; i < 20; ++i) {
-      board.SetRemoteLoads({}, unheard, kStart);
-      const auto decision = board.Choose(MakeQuery(), kStart);
+      selector.SetRemoteLoads({}, unreported_hosts, kStart);
+      const auto decision = selector.Choose(MakeQuery(), kStart);
       if (const auto* choice = std::get_if<DispatchChoice>(&decision)) {
-        board.OnSent(choice->target.id, 714);
+        selector.OnSent(choice->target.id, 714);
         ++taken;
       }
     }
@@ -379,7 +383,7 @@
   // All hosts lost power. Callers that were turned away come back within a
   // second, twice what the groups can hold, and each host sees idle groups.
   // Taken all, everyone's first event is seconds late.
-  DispatchBoard knows_all(DispatchPolicy{}, 1);
+  TargetSelector knows_all(DispatchPolicy{}, 1);
   knows_all.SetTargets(MakeTargets(40, "m"), MakeCatalog(), kStart);
   int known = 0;
   for (int i = 0; i < 1400; ++i) {
--- a/tests/entry_outbox_test.cc
+++ b/tests/entry_outbox_test.cc
@@ -16,7 +16,7 @@
   while (!outbox.empty()) {
     const auto batch = outbox.TakeBatch();
     REQUIRE_FALSE(batch.empty());
-    REQUIRE(batch.size() <= EntryOutbox::kMostInBatch);
+    REQUIRE(batch.size() <= EntryOutbox::kMaxInBatch);
     for (const WaitingOrder& waiting : batch) {
       REQUIRE(waiting.host == "h" + std::to_string(sent));
       ++sent;
--- a/tests/entry_prober_test.cc
+++ b/tests/entry_prober_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// A host that is asked and time that the test moves.
-class Asked : public EngineLink {
+class Asked : public EngineClient {
  public:
   Asked()
       : prober(
@@ -62,9 +62,9 @@
   }
 
   HostHealth health() const {
-    const auto found = prober.findings().find("h");
-    return found == prober.findings().end() ? HostHealth::kAnswers
-                                            : found->second.health;
+    const auto found = prober.probe_results().find("h");
+    return found == prober.probe_results().end() ? HostHealth::kAnswers
+                                                 : found->second.health;
   }
 
   EntryProber prober;
@@ -99,7 +99,7 @@
   CHECK(asked.questions == 2);
   asked.RunFor(Milliseconds(30));
   CHECK(asked.health() == HostHealth::kSilent);
-  CHECK(asked.prober.findings().at("h").health == HostHealth::kSilent);
+  CHECK(asked.prober.probe_results().at("h").health == HostHealth::kSilent);
 }
 
 TEST_CASE("one lost question does not make a host silent") {
@@ -139,7 +139,7 @@
 
 /// Forty hosts, some of which do not answer, asked by a prober whose own link
 /// may stand still.
-class AskedFleet : public EngineLink {
+class AskedFleet : public EngineClient {
  public:
   static constexpr int kHosts = 40;
 
@@ -196,8 +196,8 @@
 
   int CountSilent() const {
     return static_cast<int>(
-        std::count_if(prober.findings().begin(), prober.findings().end(),
-                      [](const auto& row) {
+        std::count_if(prober.probe_results().begin(),
+                      prober.probe_results().end(), [](const auto& row) {
                         return row.second.health == HostHealth::kSilent;
                       }));
   }
--- a/tests/entry_test.cc
+++ b/tests/entry_test.cc
@@ -40,14 +40,14 @@
     m_writes.clear();
   }
   /// The writes take effect and nobody is told.
-  void DoUnanswered() {
+  void ApplyWithoutAnswer() {
     for (const auto& write : m_writes) {
       write();
     }
-    Drop();
+    DropCalls();
   }
   /// Nothing is done and nobody is told.
-  void Drop() {
+  void DropCalls() {
     m_writes.clear();
     m_calls.clear();
   }
@@ -104,7 +104,7 @@
 };
 
 /// Lets the claimant take the lease.
-void Take(Claimant& claimant) {
+void AcquireLease(Claimant& claimant) {
   for (int i = 0; i < 20 && !claimant.lease.IsHeld(); ++i) {
     claimant.Step(Milliseconds(200));
     claimant.records.AnswerAll();
@@ -120,20 +120,20 @@
   // would look like one that is whole.
   FakeRecords records;
   Claimant claimant("a", records);
-  Take(claimant);
+  AcquireLease(claimant);
   CHECK(claimant.fences == std::vector<uint64_t>{1});
   // Nothing of what it calls arrives, until a last renewal that was sent while
   // the lease was held; its answer comes when the lease has lapsed.
   for (int i = 0; i < 6; ++i) {
     claimant.Step(Milliseconds(200));
-    records.Drop();
+    records.DropCalls();
   }
   claimant.Step(Milliseconds(200));
   claimant.now += Milliseconds(200);
   CHECK_FALSE(claimant.lease.IsHeld());
   records.AnswerAll();
   CHECK_FALSE(claimant.lease.IsHeld());
-  Take(claimant);
+  AcquireLease(claimant);
   CHECK(claimant.lost == 1);
   CHECK(claimant.fences == std::vector<uint64_t>{1, 2});
 }
@@ -144,12 +144,12 @@
   // host still holds the lease.
   FakeRecords records;
   Claimant claimant("a", records);
-  Take(claimant);
+  AcquireLease(claimant);
   for (int round = 0; round < 10; ++round) {
     for (int i = 0; i < 3; ++i) {
       claimant.Step(Milliseconds(200));
     }
-    records.DoUnanswered();
+    records.ApplyWithoutAnswer();
     for (int i = 0; i < 3; ++i) {
       claimant.Step(Milliseconds(200));
       records.AnswerAll();
@@ -166,10 +166,10 @@
   // then.
   FakeRecords records;
   Claimant claimant("a", records);
-  Take(claimant);
+  AcquireLease(claimant);
   claimant.Step(Milliseconds(600));
   const TimePoint began = claimant.now;
-  records.DoUnanswered();
+  records.ApplyWithoutAnswer();
   claimant.Step(Milliseconds(500));
   records.AnswerAll();
   claimant.now = began + Milliseconds(1499);
@@ -183,12 +183,12 @@
   // taken over; on its own clock its lease has ended by then.
   FakeRecords records;
   Claimant first("a", records);
-  Take(first);
+  AcquireLease(first);
   Claimant second("b", records);
   second.now = first.now;
   for (int i = 0; i < 30; ++i) {
     first.Step(Milliseconds(200));
-    records.Drop();
+    records.DropCalls();
     second.Step(Milliseconds(200));
     records.AnswerAll();
     const bool both = first.lease.IsHeld() && second.lease.IsHeld();
@@ -201,12 +201,12 @@
 TEST_CASE("a lease that is given back is free for the next at once") {
   FakeRecords records;
   Claimant first("a", records);
-  Take(first);
+  AcquireLease(first);
   first.lease.GiveBack();
   records.AnswerAll();
   Claimant second("b", records);
   second.now = first.now;
-  Take(second);
+  AcquireLease(second);
   CHECK(second.now - first.now < Milliseconds(1500));
 }
 
@@ -216,7 +216,7 @@
   // the holder is gone. Its own next process knows.
   FakeRecords records;
   Claimant before("e1#1", records);
-  Take(before);
+  AcquireLease(before);
   REQUIRE(before.lease.IsHeld());
   const uint64_t fence = before.lease.fence();
   Claimant after("e1#2", records);
@@ -230,7 +230,7 @@
 TEST_CASE("another host's lease is not taken back by a host that starts") {
   FakeRecords records;
   Claimant holder("e1#1", records);
-  Take(holder);
+  AcquireLease(holder);
   Claimant other("e12#1", records);
   for (int i = 0; i < 3; ++i) {
     other.lease.Tick(false);
@@ -249,13 +249,13 @@
 TEST_CASE("a host that stops waits until callers have taken their answers") {
   // Guards against an answer that is whole here and cut on its way, since the
   // process ends while its last bytes wait to be written.
-  constexpr Duration kLeast = Seconds(3);
-  constexpr Duration kMost = Seconds(7);
-  CHECK_FALSE(MayStop({Seconds(4), 0, 1}, kLeast, kMost));
-  CHECK_FALSE(MayStop({Seconds(4), 1, 0}, kLeast, kMost));
-  CHECK_FALSE(MayStop({Seconds(2), 0, 0}, kLeast, kMost));
-  CHECK(MayStop({Seconds(4), 0, 0}, kLeast, kMost));
-  CHECK(MayStop({Seconds(7), 1, 1}, kLeast, kMost));
+  constexpr Duration kMinTime = Seconds(3);
+  constexpr Duration kMaxTime = Seconds(7);
+  CHECK_FALSE(MayStop({Seconds(4), 0, 1}, kMinTime, kMaxTime));
+  CHECK_FALSE(MayStop({Seconds(4), 1, 0}, kMinTime, kMaxTime));
+  CHECK_FALSE(MayStop({Seconds(2), 0, 0}, kMinTime, kMaxTime));
+  CHECK(MayStop({Seconds(4), 0, 0}, kMinTime, kMaxTime));
+  CHECK(MayStop({Seconds(7), 1, 1}, kMinTime, kMaxTime));
 }
 
 }  // namespace
--- a/tests/exchange_test.cc
+++ b/tests/exchange_test.cc
@@ -27,24 +27,27 @@
 };
 
 /// `asker` asks `answerer`; the question and the answer travel for so long.
-ExchangeEffect Exchange(Node& asker,
-                        Node& answerer,
+ExchangeEffect Exchange(Node& requester,
+                        Node& replier,
                         TimePoint& true_now,
                         Duration there = Milliseconds(1),
                         Duration back = Milliseconds(1),
                         std::vector<std::string> wanted = {}) {
-  ExchangeState asking = asker.State();
-  ExchangeState answering = answerer.State();
-  const TimePoint asked_at = asker.Clock(true_now);
-  const ExchangeAsk ask =
-      MakeAsk(asking, answerer.table.self().node, std::move(wanted), asked_at);
+  ExchangeState requester_state = requester.State();
+  ExchangeState replier_state = replier.State();
+  const TimePoint asked_at = requester.Clock(true_now);
+  const ExchangeRequest request = MakeExchangeRequest(
+      requester_state, replier.table.self().node, std::move(wanted), asked_at);
   true_now += there;
-  const auto decoded_ask = DecodePeerMessage(EncodePeerMessage(ask)).value();
-  const ExchangeAnswer answer = AnswerAsk(
-      answering, std::get<ExchangeAsk>(decoded_ask), answerer.Clock(true_now));
+  const auto decoded_request =
+      DecodePeerMessage(EncodePeerMessage(request)).value();
+  const ExchangeReply reply = MakeExchangeReply(
+      replier_state, std::get<ExchangeRequest>(decoded_request),
+      replier.Clock(true_now));
   true_now += back;
-  const auto decoded = DecodePeerMessage(EncodePeerMessage(answer)).value();
-  return ApplyAnswer(asking, ask, std::get<ExchangeAnswer>(decoded), asked_at);
+  const auto decoded = DecodePeerMessage(EncodePeerMessage(reply)).value();
+  return ApplyExchangeReply(requester_state, request,
+                            std::get<ExchangeReply>(decoded), asked_at);
 }
 
 const char kHosts[] =
@@ -52,7 +55,7 @@
       {"name":"h1","address":"127.0.0.1:1","accelerators":8,"state":"live"},
       {"name":"h2","address":"127.0.0.1:2","accelerators":8,"state":"live"}]})";
 
-void GiveGroup(Node& node, TimePoint now) {
+void AddGroup(Node& node, TimePoint now) {
   DomainState state;
   state.lease = {"c", 1};
   state.groups.push_back({"d/1",
@@ -69,7 +72,9 @@
   node.fleet.ReadDomains(node.cache, now);
 }
 
-void HearMember(Node& node, const std::string& host, TimePoint true_now) {
+void AddMemberEvidence(Node& node,
+                       const std::string& host,
+                       TimePoint true_now) {
   MemberReport report;
   report.host = host;
   report.incarnation = "i";
@@ -78,7 +83,7 @@
   report.phase = MemberPhase::kReady;
   MemberEvidence evidence;
   evidence.OnConnect(node.Clock(true_now));
-  evidence.OnBeat({0, report}, node.Clock(true_now));
+  evidence.OnHeartbeatLine({0, report}, node.Clock(true_now));
   node.fleet.OnMember(host, evidence, node.Clock(true_now));
 }
 
@@ -88,7 +93,7 @@
   Node watcher("a");
   Node other("b", Seconds(500));
   TimePoint now = kStart;
-  GiveGroup(watcher, now);
+  AddGroup(watcher, now);
   const ExchangeEffect first = Exchange(other, watcher, now);
   CHECK(first.wanted.size() == 2);
   const ExchangeEffect second = Exchange(other, watcher, now, Milliseconds(1),
@@ -106,26 +111,26 @@
     for (int i = 0; i < 3; ++i) {
       nodes.emplace_back("n" + std::to_string(i),
                          Milliseconds(*rc::gen::inRange(0, 1000000)));
-      GiveGroup(nodes.back(), nodes.back().Clock(kStart));
+      AddGroup(nodes.back(), nodes.back().Clock(kStart));
     }
     TimePoint now = kStart;
-    TimePoint truly_whole = kStart;
+    TimePoint last_whole = kStart;
     for (int i = 0; i < 40; ++i) {
       now += Milliseconds(*rc::gen::inRange(0, 300));
-      const auto asker = *rc::gen::inRange<size_t>(0, 3);
-      if (asker == 0) {
-        HearMember(nodes[0], "h1", now);
-        HearMember(nodes[0], "h2", now);
-        truly_whole = now;
+      const auto requester = *rc::gen::inRange<size_t>(0, 3);
+      if (requester == 0) {
+        AddMemberEvidence(nodes[0], "h1", now);
+        AddMemberEvidence(nodes[0], "h2", now);
+        last_whole = now;
       } else {
-        Exchange(nodes[asker], nodes[asker - 1], now,
+        Exchange(nodes[requester], nodes[requester - 1], now,
                  Milliseconds(*rc::gen::inRange(0, 2000)),
                  Milliseconds(*rc::gen::inRange(0, 2000)));
       }
       for (Node& node : nodes) {
         const auto* candidate = node.fleet.FindCandidate("d/1");
         if (candidate != nullptr && candidate->target.whole_at) {
-          RC_ASSERT(*candidate->target.whole_at <= node.Clock(truly_whole));
+          RC_ASSERT(*candidate->target.whole_at <= node.Clock(last_whole));
         }
       }
     }
@@ -137,10 +142,10 @@
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
-  GiveGroup(monitor, now);
-  GiveGroup(router, now);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddGroup(monitor, now);
+  AddGroup(router, now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   REQUIRE(router.fleet.FindCandidate("d/1")->target.whole_at);
   now += Milliseconds(100);
@@ -160,18 +165,18 @@
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
-  GiveGroup(monitor, now);
-  GiveGroup(router, now);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddGroup(monitor, now);
+  AddGroup(router, now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   const auto load = ParseAnswerLoad("[3,1,16,30000]");
   REQUIRE(load);
   router.fleet.OnAnswerLoad("d/1", *load, now);
   CHECK(router.fleet.FindCandidate("d/1")->load.slots == 16);
   now += Milliseconds(500);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   CHECK(router.fleet.FindCandidate("d/1")->load.slots == 16);
   CHECK(!ParseAnswerLoad("[3,1]"));
@@ -233,12 +238,12 @@
 
 TEST_CASE("property: no bytes of a peer crash the reading of its message") {
   REQUIRE(rc::check("bytes", [] {
-    ExchangeAnswer answer;
-    answer.from = {"a", 3, {"127.0.0.1", 9}, "dc", false, 4, 5};
-    answer.inventory = {{"k", 3}};
-    answer.peers = {{answer.from, Seconds(1)}};
-    answer.evidence = {{"d/1", 4, true, Milliseconds(20), 3}};
-    std::string bytes = EncodePeerMessage(answer);
+    ExchangeReply reply;
+    reply.from = {"a", 3, {"127.0.0.1", 9}, "dc", false, 4, 5};
+    reply.inventory = {{"k", 3}};
+    reply.peers = {{reply.from, Seconds(1)}};
+    reply.evidence = {{"d/1", 4, true, Milliseconds(20), 3}};
+    std::string bytes = EncodePeerMessage(reply);
     const int changes = *rc::gen::inRange(0, 4);
     for (int i = 0; i < changes; ++i) {
       bytes[*rc::gen::inRange<size_t>(0, bytes.size())] =
--- a/tests/explain_test.cc
+++ b/tests/explain_test.cc
@@ -34,9 +34,9 @@
 {"no event":1}
 )";
 
-std::vector<TrailLine> Trail() {
+std::vector<RequestLogLine> Trail() {
   std::istringstream stream(kTrail);
-  return ReadTrail(stream);
+  return ReadRequestLog(stream);
 }
 
 bool Contains(const std::string& text, std::string_view part) {
@@ -128,7 +128,7 @@
   // one is late; three are turned away. One stream fell silent and went on
   // elsewhere after a long pause.
   std::istringstream stream(kLosses);
-  const auto trail = ReadTrail(stream);
+  const auto trail = ReadRequestLog(stream);
   const LossAccount account = AccountLosses(trail, AccountPolicy{0.25, 2000});
   CHECK(account.asked == 7);
   CHECK(account.on_time == 2);
--- a/tests/fake_fleet.h
+++ b/tests/fake_fleet.h
@@ -26,7 +26,7 @@
     BackendServer server;
     bool alive = true;
     /// Lives, but does not reach the store.
-    bool cut = false;
+    bool partitioned = false;
     std::optional<TimePoint> silent_since;
     uint64_t newest_epoch = 0;
     std::vector<std::string> group_members;
@@ -41,7 +41,7 @@
     std::optional<TimePoint> staged_at;
     std::string staging;
     /// Of a head: since when a member is missing.
-    std::optional<TimePoint> standing_since;
+    std::optional<TimePoint> incomplete_since;
     /// Group that the host was last in, and its head.
     std::string last_head;
     std::string last_group;
@@ -54,7 +54,7 @@
                const std::string& model) {
     Host host;
     host.server.id = "h" + std::to_string(++m_last);
-    host.server.born_ms = 1;
+    host.server.process_start_ms = 1;
     host.server.service = "llm";
     host.server.domain = domain;
     if (staged) {
@@ -66,7 +66,7 @@
   /// The process ends and starts again under its id: it is in no group, knows
   /// no epoch and has no weights in memory; those on the host's disk stay.
   static void Restart(Host& host) {
-    ++host.server.born_ms;
+    ++host.server.process_start_ms;
     host.server.membership.reset();
     host.server.model.clear();
     host.newest_epoch = 0;
@@ -75,7 +75,7 @@
     host.ready_at.reset();
     host.loads = false;
     host.staged_at.reset();
-    host.standing_since.reset();
+    host.incomplete_since.reset();
     host.last_head.clear();
     host.last_group.clear();
   }
@@ -97,7 +97,7 @@
     if (const auto* join = std::get_if<JoinGroup>(&order)) {
       bool answered = true;
       for (const std::string& member :
-           planned.only.empty() ? join->members : planned.only) {
+           planned.recipients.empty() ? join->members : planned.recipients) {
         answered = Deliver(member, order, now, late) && answered;
       }
       return answered;
@@ -115,15 +115,15 @@
   }
 
   void Step(TimePoint now) {
-    std::vector<Late> due;
-    std::erase_if(m_late, [&](const Late& late) {
+    std::vector<DelayedOrder> due;
+    std::erase_if(m_delayed, [&](const DelayedOrder& late) {
       if (late.at > now) {
         return false;
       }
       due.push_back(late);
       return true;
     });
-    for (const Late& late : due) {
+    for (const DelayedOrder& late : due) {
       Execute(late.host, late.order, now);
     }
     for (auto& [id, host] : m_hosts) {
@@ -132,32 +132,34 @@
   }
 
   /// Registrations and direct answers as the controller sees them.
-  void Show(ServerDirectory& directory, HostFindings& findings, TimePoint now) {
-    size_t shown = 0;
-    for (const std::string& id : ShowOrder()) {
+  void ReportTo(ServerDirectory& directory,
+                HostProbeResults& probe_results,
+                TimePoint now) {
+    size_t reported = 0;
+    for (const std::string& id : ReportOrder()) {
       Host& host = m_hosts.at(id);
-      const bool registers = host.alive && !host.cut;
+      const bool registers = host.alive && !host.partitioned;
       if (registers) {
         host.silent_since.reset();
         const BackendServer* known = directory.Find(id);
         const bool changed = known == nullptr || !(*known == host.server);
-        if (changed && shown++ < m_most_shown) {
+        if (changed && reported++ < m_max_shown) {
           directory.Put(host.server, now);
-          m_last_shown = id;
+          m_last_reported = id;
         }
       } else if (!host.silent_since) {
         host.silent_since = now;
       } else if (now - *host.silent_since > Milliseconds(3600)) {
         directory.Remove(id, now);
       }
-      findings[id].health =
+      probe_results[id].health =
           host.alive ? HostHealth::kAnswers : HostHealth::kSilent;
     }
   }
 
   /// Changed registrations that the store takes between two looks; the others
   /// wait for their turn.
-  void SetMostShown(size_t most) { m_most_shown = most; }
+  void SetMaxReportsPerPass(size_t most) { m_max_shown = most; }
 
   /// Loads take a tenth of their time before the first request.
   void SetTraffic(bool traffic) { m_traffic = traffic; }
@@ -174,20 +176,20 @@
   const std::vector<std::string>& violations() const { return m_violations; }
 
  private:
-  struct Late {
+  struct DelayedOrder {
     TimePoint at;
     std::string host;
     ReplicaOrder order;
   };
 
   /// All hosts, from the one after the last that was shown on.
-  std::vector<std::string> ShowOrder() const {
+  std::vector<std::string> ReportOrder() const {
     std::vector<std::string> order;
     for (const auto& [id, host] : m_hosts) {
       order.push_back(id);
     }
     const auto next =
-        std::upper_bound(order.begin(), order.end(), m_last_shown);
+        std::upper_bound(order.begin(), order.end(), m_last_reported);
     std::rotate(order.begin(), next, order.end());
     return order;
   }
@@ -224,9 +226,9 @@
                double late) {
     if (Chance(late)) {
       if (Chance(0.7)) {
-        m_late.push_back({now + Milliseconds(2000 + static_cast<int64_t>(
-                                                        m_random() % 10000)),
-                          id, order});
+        m_delayed.push_back({now + Milliseconds(2000 + static_cast<int64_t>(
+                                                           m_random() % 10000)),
+                             id, order});
       }
       return false;
     }
@@ -242,7 +244,7 @@
       return false;
     }
     Host& host = found->second;
-    auto& place = host.server.membership;
+    auto& membership = host.server.membership;
     if (const auto* join = std::get_if<JoinGroup>(&order)) {
       Join(host, *join, now);
       return true;
@@ -253,32 +255,35 @@
       return true;
     }
     if (const auto* leave = std::get_if<LeaveGroup>(&order)) {
-      if (place && place->group == leave->group &&
-          place->epoch == leave->epoch) {
-        place.reset();
+      if (membership && membership->group == leave->group &&
+          membership->epoch == leave->epoch) {
+        membership.reset();
       }
       return true;
     }
     if (const auto* open = std::get_if<OpenGroup>(&order)) {
-      if (place && place->group == open->group && place->epoch == open->epoch &&
-          place->rank == 0 && place->state == MembershipState::kReady) {
+      if (membership && membership->group == open->group &&
+          membership->epoch == open->epoch && membership->rank == 0 &&
+          membership->state == MembershipState::kReady) {
         CheckOpen(host);
-        place->state = MembershipState::kOpen;
+        membership->state = MembershipState::kOpen;
       }
       return true;
     }
     const auto& close = std::get<CloseGroup>(order);
-    if (place && place->group == close.group && place->epoch == close.epoch &&
-        place->rank == 0 && IsOpen(host)) {
-      place->state = MembershipState::kReady;
-      host.standing_since.reset();
+    if (membership && membership->group == close.group &&
+        membership->epoch == close.epoch && membership->rank == 0 &&
+        IsOpen(host)) {
+      membership->state = MembershipState::kReady;
+      host.incomplete_since.reset();
     }
     return true;
   }
 
   void Join(Host& host, const JoinGroup& join, TimePoint now) {
-    auto& place = host.server.membership;
-    if (place && place->group == join.group && place->epoch == join.epoch) {
+    auto& membership = host.server.membership;
+    if (membership && membership->group == join.group &&
+        membership->epoch == join.epoch) {
       return;
     }
     if (join.epoch < host.newest_epoch) {
@@ -292,12 +297,12 @@
     const bool staged =
         std::find(host.server.staged.begin(), host.server.staged.end(),
                   join.model) != host.server.staged.end();
-    place = Membership{join.group, join.epoch, static_cast<int>(rank),
-                       MembershipState::kJoining};
+    membership = Membership{join.group, join.epoch, static_cast<int>(rank),
+                            MembershipState::kJoining};
     host.newest_epoch = join.epoch;
     host.group_members = join.members;
     host.was_ready = false;
-    host.standing_since.reset();
+    host.incomplete_since.reset();
     host.last_group = join.group;
     host.last_head = join.members.front();
     host.server.model = join.model;
@@ -338,7 +343,7 @@
       return;
     }
     const bool broken =
-        head.standing_since && now - *head.standing_since >= kStall;
+        head.incomplete_since && now - *head.incomplete_since >= kStall;
     if (!broken) {
       m_violations.push_back(host.server.id + " joined " + join.group +
                              " while the head of " + host.last_group +
@@ -350,16 +355,16 @@
     if (!host.alive) {
       return;
     }
-    auto& place = host.server.membership;
+    auto& membership = host.server.membership;
     if (host.staged_at && now >= *host.staged_at) {
       host.server.staged = {host.staging};
       host.staged_at.reset();
     }
-    if (place && place->state == MembershipState::kJoining && host.ready_at &&
-        now >= *host.ready_at) {
-      place->state = MembershipState::kReady;
+    if (membership && membership->state == MembershipState::kJoining &&
+        host.ready_at && now >= *host.ready_at) {
+      membership->state = MembershipState::kReady;
       host.was_ready = true;
-      host.ready_in.insert({place->group, place->epoch});
+      host.ready_in.insert({membership->group, membership->epoch});
       if (host.loads) {
         host.server.staged = {host.server.model};
       }
@@ -368,25 +373,25 @@
       return;
     }
     if (IsWhole(host)) {
-      host.standing_since.reset();
+      host.incomplete_since.reset();
       return;
     }
-    if (!host.standing_since) {
-      host.standing_since = now;
+    if (!host.incomplete_since) {
+      host.incomplete_since = now;
     }
-    if (now - *host.standing_since >= kStall) {
-      place->state = MembershipState::kBroken;
+    if (now - *host.incomplete_since >= kStall) {
+      membership->state = MembershipState::kBroken;
     }
   }
 
   std::mt19937_64 m_random;
   std::map<std::string, Host> m_hosts;
-  std::vector<Late> m_late;
+  std::vector<DelayedOrder> m_delayed;
   std::vector<std::string> m_violations;
   int m_last = 0;
   bool m_traffic = false;
-  size_t m_most_shown = std::numeric_limits<size_t>::max();
-  std::string m_last_shown;
+  size_t m_max_shown = std::numeric_limits<size_t>::max();
+  std::string m_last_reported;
 };
 
 }  // namespace filbertrack
--- a/tests/fuzz/fuzz_untrusted.cc
+++ b/tests/fuzz/fuzz_untrusted.cc
@@ -29,8 +29,8 @@
   const platform::PlatformDecoder decoder;
   (void)decoder.ReadServer("i-1", bytes);
   (void)decoder.ReadCatalog(bytes);
-  (void)DecodeNewsAsk(bytes);
-  (void)DecodeNewsAnswer(bytes);
+  (void)DecodeGossipRequest(bytes);
+  (void)DecodeGossipReply(bytes);
   (void)ParsePoisonRecord(bytes);
 }
 
