--- a/tests/gossip_burst_test.cc
+++ b/tests/gossip_burst_test.cc
@@ -25,7 +25,7 @@
 constexpr int kRelays = 2;
 constexpr double kPromptTokens = 714;
 constexpr int kAnswerTokens = 168;
-constexpr Duration kAim = Milliseconds(300);
+constexpr Duration kSlo = Milliseconds(300);
 constexpr Duration kStep = Milliseconds(10);
 /// Steps between two rounds of a host, in which it asks eight neighbours.
 constexpr int kRoundSteps = 15;
@@ -42,9 +42,9 @@
   int refused = 0;
   /// Believed less true requests at the chosen target, over all placings.
   double error = 0;
-  int placed = 0;
+  int sent = 0;
 
-  double MeanError() const { return error / placed; }
+  double MeanError() const { return error / sent; }
 };
 
 /// 81 entry hosts of three data centres and 36 groups of 20 places each. For
@@ -67,7 +67,7 @@
     }
     for (int i = 0; i < kDataCentres * kHostsEach; ++i) {
       m_hosts.push_back(std::make_unique<Host>(i, policy, dispatch));
-      m_hosts.back()->board.SetTargets(targets, catalog, kStart);
+      m_hosts.back()->selector.SetTargets(targets, catalog, kStart);
     }
     for (FakeEngine& engine : m_engines) {
       engine.slots = kSlots;
@@ -94,17 +94,19 @@
         : name("h" + std::to_string(number)),
           data_centre(DataCentre(number)),
           is_relay(number < kRelays * kDataCentres),
-          board(dispatch, static_cast<uint64_t>(number)),
-          news(name, data_centre, {}),
+          selector(dispatch, static_cast<uint64_t>(number)),
+          gossip(name, data_centre, {}),
           exchange(policy) {}
 
-    NewsState Tell() const { return TellOwnLoads(name, data_centre, board); }
+    GossipState State() const {
+      return MakeLoadReport(name, data_centre, selector);
+    }
 
     std::string name;
     std::string data_centre;
     bool is_relay;
-    DispatchBoard board;
-    FleetNews news;
+    TargetSelector selector;
+    FleetGossip gossip;
     LoadExchange exchange;
     size_t next_peer = 0;
   };
@@ -143,35 +145,35 @@
     for (size_t i = 0; i < m_hosts.size(); ++i) {
       Host& host = *m_hosts[i];
       if (static_cast<int64_t>(i) % kRoundSteps == step % kRoundSteps) {
-        AskNear(host, now);
-        host.board.SetRemoteLoads(host.news.SumLoads(now).loads, 0, now);
+        AskLocalPeers(host, now);
+        host.selector.SetRemoteLoads(host.gossip.SumLoads(now).loads, 0, now);
       }
-      host.exchange.NotePressure(host.board.MostPressure(now));
+      host.exchange.UpdatePressure(host.selector.MaxPressure(now));
       const Duration interval =
           host.exchange.Interval(kHostsEach, kRelays, host.is_relay);
       if (host.exchange.TryBegin(interval, now)) {
-        AskRelays(host, now);
-        host.board.SetRemoteLoads(host.news.SumLoads(now).loads, 0, now);
+        ExchangeWithRelays(host, now);
+        host.selector.SetRemoteLoads(host.gossip.SumLoads(now).loads, 0, now);
       }
     }
   }
 
-  void AskNear(Host& host, TimePoint now) {
+  void AskLocalPeers(Host& host, TimePoint now) {
     for (int asked = 0; asked < kNeighbours;) {
       host.next_peer = (host.next_peer + 1) % m_hosts.size();
       Host& peer = *m_hosts[host.next_peer];
       if (&peer != &host && peer.data_centre == host.data_centre) {
-        peer.news.Note(host.Tell(), now);
-        host.news.Note(peer.Tell(), now);
+        peer.gossip.Note(host.State(), now);
+        host.gossip.Note(peer.State(), now);
         ++asked;
       }
     }
   }
 
-  void AskRelays(Host& host, TimePoint now) {
+  void ExchangeWithRelays(Host& host, TimePoint now) {
     if (host.is_relay) {
       for (int relay = 0; relay < kRelays * kDataCentres; ++relay) {
-        AskAsRelay(host, *m_hosts[static_cast<size_t>(relay)], now);
+        ExchangeAsRelay(host, *m_hosts[static_cast<size_t>(relay)], now);
       }
       return;
     }
@@ -179,33 +181,33 @@
     for (int relay = 0; relay < kRelays; ++relay) {
       relays.push_back(std::to_string(relay));
     }
-    const auto turn =
+    const auto relay_index =
         static_cast<size_t>(std::stoi(host.exchange.NextRelay(relays)));
     const auto dc = static_cast<size_t>(std::stoi(host.data_centre.substr(2)));
-    Host& relay = *m_hosts[turn * kDataCentres + dc];
-    relay.news.Note(host.Tell(), now);
-    NewsState answer = relay.Tell();
-    relay.news.PassOnFar(answer, now);
+    Host& relay = *m_hosts[relay_index * kDataCentres + dc];
+    relay.gossip.Note(host.State(), now);
+    GossipState reply = relay.State();
+    relay.gossip.AddRemoteLoads(reply, now);
     if (host.exchange.busy()) {
-      relay.news.PassOnNear(answer, host.name, now);
+      relay.gossip.AddLocalLoads(reply, host.name, now);
     }
-    host.news.Note(answer, now);
+    host.gossip.Note(reply, now);
   }
 
-  static void AskAsRelay(Host& host, Host& other, TimePoint now) {
+  static void ExchangeAsRelay(Host& host, Host& other, TimePoint now) {
     if (&other == &host) {
       return;
     }
-    NewsState ask = host.Tell();
-    NewsState answer = other.Tell();
+    GossipState request = host.State();
+    GossipState reply = other.State();
     if (host.data_centre != other.data_centre) {
-      host.news.CoverDataCentre(ask, now);
-      other.news.CoverDataCentre(answer, now);
+      host.gossip.CoverDataCentre(request, now);
+      other.gossip.CoverDataCentre(reply, now);
     } else if (!host.exchange.busy()) {
       return;
     }
-    other.news.Note(ask, now);
-    host.news.Note(answer, now);
+    other.gossip.Note(request, now);
+    host.gossip.Note(reply, now);
   }
 
   void Place(TimePoint now) {
@@ -215,11 +217,11 @@
     query.service = "llm";
     query.model = "m";
     query.prompt_tokens = kPromptTokens;
-    query.time_to_aim = kAim;
+    query.time_to_slo = kSlo;
     query.time_left = Seconds(6);
-    query.near_data_centre = host.data_centre;
+    query.local_data_centre = host.data_centre;
     ++m_result.offered;
-    const auto decision = host.board.Choose(query, now);
+    const auto decision = host.selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
     if (choice == nullptr) {
       ++m_result.refused;
@@ -230,8 +232,8 @@
         m_engines[static_cast<size_t>(std::stoi(target.substr(1)))];
     m_result.error += choice->own_requests + choice->other_requests -
                       static_cast<double>(engine.size());
-    ++m_result.placed;
-    host.board.OnSent(target, kPromptTokens);
+    ++m_result.sent;
+    host.selector.OnSent(target, kPromptTokens);
     if (engine.size() == 0) {
       engine.next = std::max(engine.next, now);
     }
@@ -249,9 +251,9 @@
             },
             [this](const FakeEngine::Request& request, TimePoint at) {
               const Sent& sent = m_sent[request.number];
-              m_hosts[sent.host]->board.OnEnded(sent.target, kPromptTokens,
-                                                false,
-                                                DispatchResult::kAnswered, at);
+              m_hosts[sent.host]->selector.OnEnded(
+                  sent.target, kPromptTokens, false, DispatchResult::kAnswered,
+                  at);
             });
       }
     }
@@ -260,9 +262,9 @@
   void OnFirst(const FakeEngine::Request& request, TimePoint at) {
     const Sent& sent = m_sent[request.number];
     const Duration took = at - request.arrived;
-    m_hosts[sent.host]->board.OnFirstEvent(sent.target, kPromptTokens,
-                                           sent.predicted, took);
-    ++(took <= kAim ? m_result.on_time : m_result.late);
+    m_hosts[sent.host]->selector.OnFirstEvent(sent.target, kPromptTokens,
+                                              sent.predicted, took);
+    ++(took <= kSlo ? m_result.on_time : m_result.late);
   }
 
   double m_burst;
@@ -278,7 +280,7 @@
 /// Loads are exchanged as rarely under load as at rest.
 LoadExchangePolicy NeverBusy() {
   LoadExchangePolicy policy;
-  policy.busy_pressure = 1e9;
+  policy.loaded_pressure = 1e9;
   return policy;
 }
 
@@ -305,9 +307,9 @@
   // twice their aim, they stand in queues that last as long as the burst, and
   // every answer waits behind them. Refused, the few without a place hear so at
   // once, and those who have one are on time.
-  DispatchPolicy patient;
-  patient.full_aim_slack = patient.aim_slack;
-  const BurstResult queued = BurstReplay(1.6, {}, patient).Run();
+  DispatchPolicy tolerant;
+  tolerant.saturated_slo_factor = tolerant.slo_factor;
+  const BurstResult queued = BurstReplay(1.6, {}, tolerant).Run();
   const BurstResult refused = BurstReplay(1.6, {}, {}).Run();
   for (const BurstResult& result : {queued, refused}) {
     MESSAGE("of " << result.offered << ": on time " << result.on_time
--- a/tests/gossip_fleet_test.cc
+++ b/tests/gossip_fleet_test.cc
@@ -13,10 +13,10 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-NewsState MakeState(const std::string& node,
-                    const std::string& data_centre,
-                    int requests) {
-  NewsState state;
+GossipState MakeState(const std::string& node,
+                      const std::string& data_centre,
+                      int requests) {
+  GossipState state;
   state.node = node;
   state.data_centre = data_centre;
   state.loads = {{"t", requests, 100.0 * requests}};
@@ -27,40 +27,40 @@
   // A host of another data centre is heard directly and in its data centre's
   // sum. Counted twice, its targets would look busier than they are, and
   // callers would be turned away from free places.
-  FleetNews here("a1", "a", {});
-  FleetNews there("b1", "b", {});
+  FleetGossip here("a1", "a", {});
+  FleetGossip there("b1", "b", {});
   there.Note(MakeState("b2", "b", 3), kStart);
-  NewsState sum = MakeState("b1", "b", 4);
+  GossipState sum = MakeState("b1", "b", 4);
   there.CoverDataCentre(sum, kStart);
   REQUIRE(sum.loads.size() == 1);
   CHECK(sum.loads[0].requests == 7);
   here.Note(MakeState("a2", "a", 1), kStart);
   here.Note(MakeState("b2", "b", 3), kStart);
   here.Note(sum, kStart);
-  const FleetNews::Loads heard = here.SumLoads(kStart);
-  CHECK(heard.loads.at("t").requests == 8);
-  CHECK(heard.hosts == 3);
+  const FleetGossip::Loads received = here.SumLoads(kStart);
+  CHECK(received.loads.at("t").requests == 8);
+  CHECK(received.hosts == 3);
 }
 
 TEST_CASE("loads and hosts that were not told lately are forgotten") {
-  FleetNews news("a1", "a", {});
-  news.Note(MakeState("a2", "a", 5), kStart);
-  CHECK(news.SumLoads(kStart + Milliseconds(1200)).loads.size() == 1);
-  CHECK(news.SumLoads(kStart + Milliseconds(1300)).loads.empty());
-  CHECK(news.Hosts(kStart + Milliseconds(1500)).size() == 1);
-  CHECK(news.Hosts(kStart + Milliseconds(1600)).empty());
+  FleetGossip gossip("a1", "a", {});
+  gossip.Note(MakeState("a2", "a", 5), kStart);
+  CHECK(gossip.SumLoads(kStart + Milliseconds(1200)).loads.size() == 1);
+  CHECK(gossip.SumLoads(kStart + Milliseconds(1300)).loads.empty());
+  CHECK(gossip.Hosts(kStart + Milliseconds(1500)).size() == 1);
+  CHECK(gossip.Hosts(kStart + Milliseconds(1600)).empty());
 }
 
 TEST_CASE("a host hears through others who reaches the store") {
   // Without it, each data centre would take only its own hosts for alive, and
   // choose watchers of the store of its own.
-  FleetNews there("b1", "b", {});
-  NewsState cut_off = MakeState("b2", "b", 0);
+  FleetGossip there("b1", "b", {});
+  GossipState cut_off = MakeState("b2", "b", 0);
   cut_off.store_fails = true;
   there.Note(cut_off, kStart);
-  NewsState sum = MakeState("b1", "b", 0);
+  GossipState sum = MakeState("b1", "b", 0);
   there.CoverDataCentre(sum, kStart + Milliseconds(100));
-  FleetNews here("a1", "a", {});
+  FleetGossip here("a1", "a", {});
   here.Note(sum, kStart + Milliseconds(100));
   CHECK(here.Hosts(kStart + Milliseconds(200)) ==
         std::vector<std::string>{"b1", "b2"});
@@ -69,10 +69,10 @@
 }
 
 TEST_CASE("messages keep what they hold on the way") {
-  NewsAsk ask{MakeState("a1", "a", 3), true};
-  ask.state.covers_data_centre = true;
-  ask.state.hosts = {{"a2", true, Milliseconds(40)}};
-  const auto read = DecodeNewsAsk(EncodeNewsAsk(ask));
+  GossipRequest request{MakeState("a1", "a", 3), true};
+  request.state.covers_data_centre = true;
+  request.state.hosts = {{"a2", true, Milliseconds(40)}};
+  const auto read = DecodeGossipRequest(EncodeGossipRequest(request));
   REQUIRE(read);
   CHECK(read->state.data_centre == "a");
   CHECK(read->state.covers_data_centre);
@@ -94,7 +94,7 @@
   static constexpr double kRate = 473;
 
   /// `near`: hosts tell loads within their data centre and send there first.
-  explicit Replay(bool near) : m_near(near) {
+  explicit Replay(bool local) : m_local(local) {
     CatalogParts parts;
     EngineProfile engine;
     engine.slots = kSlots;
@@ -118,7 +118,7 @@
     }
     for (int i = 0; i < kDataCentres * kHostsEach; ++i) {
       auto host = std::make_unique<Host>(i);
-      host->board.SetTargets(targets, catalog, kStart);
+      host->selector.SetTargets(targets, catalog, kStart);
       m_hosts.push_back(std::move(host));
     }
   }
@@ -136,7 +136,7 @@
       EndUntil(now);
       Place(now);
     }
-    return static_cast<double>(m_met_full) / m_placed;
+    return static_cast<double>(m_sent_to_full) / m_sent;
   }
 
  private:
@@ -144,15 +144,17 @@
     explicit Host(int number)
         : name("h" + std::to_string(number)),
           data_centre(DataCentre(number)),
-          board(DispatchPolicy{}, static_cast<uint64_t>(number)),
-          news(name, data_centre, {}) {}
+          selector(DispatchPolicy{}, static_cast<uint64_t>(number)),
+          gossip(name, data_centre, {}) {}
 
-    NewsState Tell() const { return TellOwnLoads(name, data_centre, board); }
+    GossipState State() const {
+      return MakeLoadReport(name, data_centre, selector);
+    }
 
     std::string name;
     std::string data_centre;
-    DispatchBoard board;
-    FleetNews news;
+    TargetSelector selector;
+    FleetGossip gossip;
     size_t next_peer = 0;
   };
   struct Ending {
@@ -179,29 +181,29 @@
       while (asked < 8) {
         host.next_peer = (host.next_peer + 1) % m_hosts.size();
         Host& peer = *m_hosts[host.next_peer];
-        const bool wanted =
-            &peer != &host && (!m_near || peer.data_centre == host.data_centre);
+        const bool wanted = &peer != &host &&
+                            (!m_local || peer.data_centre == host.data_centre);
         if (wanted) {
-          peer.news.Note(host.Tell(), now);
-          host.news.Note(peer.Tell(), now);
+          peer.gossip.Note(host.State(), now);
+          host.gossip.Note(peer.State(), now);
           ++asked;
         }
       }
-      if (m_near) {
-        TellFar(host, now);
+      if (m_local) {
+        ExchangeRemotely(host, now);
       }
-      host.board.SetRemoteLoads(host.news.SumLoads(now).loads, 0, now);
+      host.selector.SetRemoteLoads(host.gossip.SumLoads(now).loads, 0, now);
     }
   }
 
-  void TellFar(Host& host, TimePoint now) {
+  void ExchangeRemotely(Host& host, TimePoint now) {
     Host& peer = *m_hosts[m_random() % m_hosts.size()];
     if (peer.data_centre == host.data_centre) {
       return;
     }
-    NewsState sum = peer.Tell();
-    peer.news.CoverDataCentre(sum, now);
-    host.news.Note(sum, now);
+    GossipState sum = peer.State();
+    peer.gossip.CoverDataCentre(sum, now);
+    host.gossip.Note(sum, now);
   }
 
   void EndUntil(TimePoint now) {
@@ -209,8 +211,8 @@
       const Ending ending = m_endings.top();
       m_endings.pop();
       --m_running[ending.target];
-      m_hosts[ending.host]->board.OnEnded(ending.target, 0, false,
-                                          DispatchResult::kAnswered, ending.at);
+      m_hosts[ending.host]->selector.OnEnded(
+          ending.target, 0, false, DispatchResult::kAnswered, ending.at);
     }
   }
 
@@ -221,35 +223,36 @@
     query.service = "llm";
     query.model = "m";
     query.prompt_tokens = 714;
-    query.time_to_aim = Milliseconds(300);
+    query.time_to_slo = Milliseconds(300);
     query.time_left = Seconds(6);
-    if (m_near) {
-      query.near_data_centre = host.data_centre;
+    if (m_local) {
+      query.local_data_centre = host.data_centre;
     }
-    const auto decision = host.board.Choose(query, now);
+    const auto decision = host.selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
     if (choice == nullptr) {
       return;
     }
     const std::string& target = choice->target.id;
-    host.board.OnSent(target, 714);
-    host.board.OnFirstEvent(target, 714, choice->predicted, choice->predicted);
-    ++m_placed;
-    m_met_full += m_running[target]++ >= kSlots ? 1 : 0;
+    host.selector.OnSent(target, 714);
+    host.selector.OnFirstEvent(target, 714, choice->predicted,
+                               choice->predicted);
+    ++m_sent;
+    m_sent_to_full += m_running[target]++ >= kSlots ? 1 : 0;
     const double seconds =
         std::uniform_real_distribution<double>(0.2, 1.8)(m_random);
     m_endings.push({now + Duration(static_cast<int64_t>(seconds * 1.06e6)),
                     index, target});
   }
 
-  bool m_near;
+  bool m_local;
   std::vector<std::unique_ptr<Host>> m_hosts;
   std::map<std::string, int> m_running;
   std::priority_queue<Ending, std::vector<Ending>, std::greater<>> m_endings;
   std::mt19937_64 m_random{7};
   std::exponential_distribution<double> m_gap{1};
-  int m_placed = 0;
-  int m_met_full = 0;
+  int m_sent = 0;
+  int m_sent_to_full = 0;
 };
 
 TEST_CASE(
--- a/tests/gossip_test.cc
+++ b/tests/gossip_test.cc
@@ -12,8 +12,8 @@
 namespace filbertrack {
 namespace {
 
-NewsState MakeState(uint64_t config, uint64_t servers) {
-  NewsState state;
+GossipState MakeState(uint64_t config, uint64_t servers) {
+  GossipState state;
   state.node = "n";
   state.address = "127.0.0.1:1";
   state.config_version = config;
@@ -27,25 +27,26 @@
   log.Put({"a", 1, "one"});
   log.Put({"b", 5, "two"});
   log.Put({"c", 6, ""});
-  log.Reach(6);
-  const NewsAnswer behind =
-      AnswerNews(MakeState(3, 6), "config", log, {MakeState(2, 4), true, true});
+  log.AdvanceTo(6);
+  const GossipReply behind = MakeGossipReply(MakeState(3, 6), "config", log,
+                                             {MakeState(2, 4), true, true});
   CHECK(behind.config == "config");
   REQUIRE(behind.servers.size() == 2);
   CHECK(behind.servers[0].id == "b");
   CHECK(behind.servers[1].text.empty());
-  CHECK_FALSE(behind.servers_whole);
+  CHECK_FALSE(behind.servers_complete);
   // A peer that asks elsewhere for the configuration is not sent it again.
-  CHECK(AnswerNews(MakeState(3, 6), "config", log, {MakeState(2, 4), false})
-            .config.empty());
-  CHECK(AnswerNews(MakeState(3, 6), "config", log, {MakeState(2, 4), true})
+  CHECK(
+      MakeGossipReply(MakeState(3, 6), "config", log, {MakeState(2, 4), false})
+          .config.empty());
+  CHECK(MakeGossipReply(MakeState(3, 6), "config", log, {MakeState(2, 4), true})
             .servers.empty());
-  const NewsAnswer level =
-      AnswerNews(MakeState(3, 6), "config", log, {MakeState(3, 6), true, true});
+  const GossipReply level = MakeGossipReply(MakeState(3, 6), "config", log,
+                                            {MakeState(3, 6), true, true});
   CHECK(level.config.empty());
   CHECK(level.servers.empty());
-  const NewsAnswer ahead =
-      AnswerNews(MakeState(3, 6), "config", log, {MakeState(4, 9), true, true});
+  const GossipReply ahead = MakeGossipReply(MakeState(3, 6), "config", log,
+                                            {MakeState(4, 9), true, true});
   CHECK(ahead.config.empty());
   CHECK(ahead.servers.empty());
 }
@@ -57,39 +58,41 @@
   log.Put({"a", 1, "one"});
   log.Put({"b", 2, ""});
   log.Put({"c", 3, ""});
-  log.Reach(3);
-  const NewsAnswer answer =
-      AnswerNews(MakeState(1, 3), "", log, {MakeState(1, 0), true, true});
-  CHECK(answer.servers_whole);
-  REQUIRE(answer.servers.size() == 1);
-  CHECK(answer.servers[0].id == "a");
+  log.AdvanceTo(3);
+  const GossipReply reply =
+      MakeGossipReply(MakeState(1, 3), "", log, {MakeState(1, 0), true, true});
+  CHECK(reply.servers_complete);
+  REQUIRE(reply.servers.size() == 1);
+  CHECK(reply.servers[0].id == "a");
 }
 
 TEST_CASE("messages arrive as they were sent") {
-  const NewsAsk ask{MakeState(7, 9)};
-  const auto read = DecodeNewsAsk(EncodeNewsAsk(ask));
+  const GossipRequest request{MakeState(7, 9)};
+  const auto read = DecodeGossipRequest(EncodeGossipRequest(request));
   REQUIRE(read);
   CHECK(read->state.config_version == 7);
   CHECK(read->state.loads[0].target == "t");
   CHECK(read->state.loads[0].requests == 3);
-  NewsAnswer answer;
-  answer.state = MakeState(1, 2);
-  answer.config = "text";
-  answer.servers = {{"a", 4, "x"}};
-  answer.servers_whole = true;
-  const auto got = DecodeNewsAnswer(EncodeNewsAnswer(answer));
+  GossipReply reply;
+  reply.state = MakeState(1, 2);
+  reply.config = "text";
+  reply.servers = {{"a", 4, "x"}};
+  reply.servers_complete = true;
+  const auto got = DecodeGossipReply(EncodeGossipReply(reply));
   REQUIRE(got);
   CHECK(got->config == "text");
-  CHECK(got->servers == answer.servers);
-  CHECK(got->servers_whole);
+  CHECK(got->servers == reply.servers);
+  CHECK(got->servers_complete);
 }
 
 TEST_CASE("a return of the store is told with its age") {
-  NewsAsk ask{MakeState(1, 2)};
-  CHECK_FALSE(DecodeNewsAsk(EncodeNewsAsk(ask))->state.store_back_for);
-  ask.state.store_back_for = Milliseconds(1500);
-  CHECK(DecodeNewsAsk(EncodeNewsAsk(ask))->state.store_back_for ==
-        Milliseconds(1500));
+  GossipRequest request{MakeState(1, 2)};
+  CHECK_FALSE(
+      DecodeGossipRequest(EncodeGossipRequest(request))->state.store_back_for);
+  request.state.store_back_for = Milliseconds(1500);
+  CHECK(
+      DecodeGossipRequest(EncodeGossipRequest(request))->state.store_back_for ==
+      Milliseconds(1500));
 }
 
 TEST_CASE("all hosts choose the same watchers, and losing one changes one") {
@@ -147,7 +150,7 @@
 TEST_CASE("one peer at a time is asked for what is large") {
   // Eight peers that know more would each send the same 300 KB.
   const TimePoint start{Seconds(100)};
-  NewsFetch fetch(Milliseconds(500), Milliseconds(50));
+  GossipFetch fetch(Milliseconds(500), Milliseconds(50));
   CHECK(fetch.MayBegin(start));
   fetch.Begin("a", start);
   CHECK(fetch.IsFrom("a"));
@@ -163,12 +166,12 @@
 }
 
 TEST_CASE("760 registrations take an eighth of their bytes on the way") {
-  NewsAnswer answer;
-  answer.state = MakeState(1, 2);
-  size_t plain = 0;
+  GossipReply reply;
+  reply.state = MakeState(1, 2);
+  size_t uncompressed = 0;
   for (int i = 0; i < 760; ++i) {
     const std::string id = "i-" + std::to_string(1000003 * i);
-    answer.servers.push_back(
+    reply.servers.push_back(
         {id, 500 + static_cast<uint64_t>(i),
          R"({"service":"huvo11a","address":"10.128.)" +
              std::to_string(i % 256) +
@@ -178,69 +181,70 @@
              R"(daka510000/100)" + std::to_string(i / 8) + R"(","epoch":100)" +
              std::to_string(i / 8) + R"(,"rank":)" + std::to_string(i % 8) +
              R"(,"state":"ready"},"seq":4})"});
-    plain += answer.servers.back().text.size();
+    uncompressed += reply.servers.back().text.size();
   }
-  const std::string message = EncodeNewsAnswer(answer);
-  MESSAGE(plain << " bytes of text in " << message.size());
-  CHECK(message.size() < plain / 8);
-  const auto read = DecodeNewsAnswer(message);
+  const std::string message = EncodeGossipReply(reply);
+  MESSAGE(uncompressed << " bytes of text in " << message.size());
+  CHECK(message.size() < uncompressed / 8);
+  const auto read = DecodeGossipReply(message);
   REQUIRE(read);
-  CHECK(read->servers == answer.servers);
+  CHECK(read->servers == reply.servers);
 }
 
 TEST_CASE("numbers of a message that no type holds are refused") {
   // A peer's version is a number that is none (found by the fuzzer), or an age
   // that overflows when it is turned into a time.
-  const std::string whole = EncodeNewsAsk({MakeState(1, 2)});
-  REQUIRE(DecodeNewsAsk(whole));
+  const std::string whole = EncodeGossipRequest({MakeState(1, 2)});
+  REQUIRE(DecodeGossipRequest(whole));
   const std::string not_a_number("\x83\xF9\xFE\x00\x01\x80", 6);
-  CHECK_FALSE(DecodeNewsAsk(not_a_number));
-  NewsAsk ask{MakeState(1, 2)};
-  ask.state.hosts = {{"h", false, Seconds(2'000'000'000)}};
-  CHECK_FALSE(DecodeNewsAsk(EncodeNewsAsk(ask)));
+  CHECK_FALSE(DecodeGossipRequest(not_a_number));
+  GossipRequest request{MakeState(1, 2)};
+  request.state.hosts = {{"h", false, Seconds(2'000'000'000)}};
+  CHECK_FALSE(DecodeGossipRequest(EncodeGossipRequest(request)));
 }
 
 TEST_CASE("other bytes are refused with a reason") {
   REQUIRE(rc::check("any bytes", [](const std::string& bytes) {
-    RC_ASSERT(!DecodeNewsAsk(bytes));
-    RC_ASSERT(!DecodeNewsAnswer(bytes));
+    RC_ASSERT(!DecodeGossipRequest(bytes));
+    RC_ASSERT(!DecodeGossipReply(bytes));
   }));
   REQUIRE(rc::check("a message cut short", [] {
-    const std::string whole = EncodeNewsAsk({MakeState(1, 2)});
+    const std::string whole = EncodeGossipRequest({MakeState(1, 2)});
     const auto size = *rc::gen::inRange<size_t>(0, whole.size());
-    RC_ASSERT(!DecodeNewsAsk(whole.substr(0, size)));
+    RC_ASSERT(!DecodeGossipRequest(whole.substr(0, size)));
   }));
-  CHECK_FALSE(DecodeNewsAnswer(EncodeNewsAsk({MakeState(1, 2)})));
+  CHECK_FALSE(DecodeGossipReply(EncodeGossipRequest({MakeState(1, 2)})));
 }
 
 TEST_CASE("facts of requests under which servers end keep what they hold") {
   const RequestDigest digest = DigestRequest({"POST", "h", "/x", "w", "b"});
-  NewsAnswer answer;
-  answer.poison.revision = 77;
-  answer.poison.facts = {
-      {EndedUnder{{"i-1", 5000}, digest, EndProgress::kBegun},
+  GossipReply reply;
+  reply.poison.revision = 77;
+  reply.poison.facts = {
+      {EndedDuringRequest{{"i-1", 5000}, digest, EndProgress::kBegun},
        Milliseconds(40)},
       {FoundAlive{{"i-2", 0}}, Seconds(3)},
       {Cleared{digest}, Seconds(4)},
-      {Marked{digest, 4, 0}, Seconds(5)},
-      {Tried{digest, 2}, Seconds(6)}};
-  const auto read = DecodeNewsAnswer(EncodeNewsAnswer(answer));
+      {Blocked{digest, 4, 0}, Seconds(5)},
+      {TrialsSent{digest, 2}, Seconds(6)}};
+  const auto read = DecodeGossipReply(EncodeGossipReply(reply));
   REQUIRE(read);
   CHECK(read->poison.revision == 77);
   REQUIRE(read->poison.facts.size() == 5);
-  const auto& ended = std::get<EndedUnder>(read->poison.facts[0].fact);
+  const auto& ended = std::get<EndedDuringRequest>(read->poison.facts[0].fact);
   CHECK(ended.server.id == "i-1");
-  CHECK(ended.server.born_ms == 5000);
+  CHECK(ended.server.process_start_ms == 5000);
   CHECK(ended.digest == digest);
   CHECK(ended.progress == EndProgress::kBegun);
   CHECK(read->poison.facts[0].age == Milliseconds(40));
   CHECK(std::get<FoundAlive>(read->poison.facts[1].fact).server.id == "i-2");
   CHECK(std::get<Cleared>(read->poison.facts[2].fact).digest == digest);
-  CHECK(std::get<Marked>(read->poison.facts[3].fact).ends == 4);
-  CHECK(std::get<Tried>(read->poison.facts[4].fact).trials == 2);
-  NewsAsk ask;
-  ask.poison_known = 76;
-  CHECK(DecodeNewsAsk(EncodeNewsAsk(ask))->poison_known == 76);
+  CHECK(std::get<Blocked>(read->poison.facts[3].fact).ends == 4);
+  CHECK(std::get<TrialsSent>(read->poison.facts[4].fact).trials == 2);
+  GossipRequest request;
+  request.known_poison_revision = 76;
+  CHECK(DecodeGossipRequest(EncodeGossipRequest(request))
+            ->known_poison_revision == 76);
 }
 
 TEST_CASE("messages of hosts of earlier versions are read") {
@@ -255,49 +259,53 @@
     return ToCbor(message);
   };
   for (size_t fields = kOldestFields; fields <= 6; ++fields) {
-    const auto answer = DecodeNewsAnswer(keep(EncodeNewsAnswer({}), fields));
-    REQUIRE(answer);
-    CHECK(answer->poison.facts.empty());
-    CHECK(answer->limits.words.empty());
-    const auto ask = DecodeNewsAsk(keep(EncodeNewsAsk({}), fields));
-    REQUIRE(ask);
-    CHECK(ask->poison_known == 0);
-    CHECK(ask->limits_known == 0);
+    const auto reply = DecodeGossipReply(keep(EncodeGossipReply({}), fields));
+    REQUIRE(reply);
+    CHECK(reply->poison.facts.empty());
+    CHECK(reply->limits.words.empty());
+    const auto request =
+        DecodeGossipRequest(keep(EncodeGossipRequest({}), fields));
+    REQUIRE(request);
+    CHECK(request->known_poison_revision == 0);
+    CHECK(request->known_limits_revision == 0);
   }
 }
 
 TEST_CASE("limits that servers name pass whole, and damaged ones are refused") {
-  NewsAnswer answer;
-  answer.state = MakeState(1, 2);
-  answer.limits = {12,
-                   {{{"i-1", 7}, 2.4, Milliseconds(40)},
-                    {{"i-2", 0}, std::nullopt, Seconds(3)}}};
-  const auto read = DecodeNewsAnswer(EncodeNewsAnswer(answer));
+  GossipReply reply;
+  reply.state = MakeState(1, 2);
+  reply.limits = {12,
+                  {{{"i-1", 7}, 2.4, Milliseconds(40)},
+                   {{"i-2", 0}, std::nullopt, Seconds(3)}}};
+  const auto read = DecodeGossipReply(EncodeGossipReply(reply));
   REQUIRE(read);
   CHECK(read->limits.revision == 12);
   REQUIRE(read->limits.words.size() == 2);
   CHECK(read->limits.words[0].server.id == "i-1");
-  CHECK(read->limits.words[0].server.born_ms == 7);
+  CHECK(read->limits.words[0].server.process_start_ms == 7);
   CHECK(read->limits.words[0].limit == 2.4);
   CHECK(read->limits.words[0].age == Milliseconds(40));
   CHECK_FALSE(read->limits.words[1].limit.has_value());
-  NewsAsk ask{MakeState(1, 2)};
-  ask.limits_known = 11;
-  CHECK(DecodeNewsAsk(EncodeNewsAsk(ask))->limits_known == 11);
-  answer.limits.words[0].limit = -1;
-  CHECK_FALSE(DecodeNewsAnswer(EncodeNewsAnswer(answer)));
+  GossipRequest request{MakeState(1, 2)};
+  request.known_limits_revision = 11;
+  CHECK(DecodeGossipRequest(EncodeGossipRequest(request))
+            ->known_limits_revision == 11);
+  reply.limits.words[0].limit = -1;
+  CHECK_FALSE(DecodeGossipReply(EncodeGossipReply(reply)));
 }
 
 TEST_CASE("evacuations pass whole and cost nothing while there are none") {
-  NewsAsk ask{MakeState(1, 2), false};
-  const size_t at_rest = EncodeNewsAsk(ask).size();
-  ask.state.evacuations = {7, {"dc-a", "dc-b"}};
-  const std::string bytes = EncodeNewsAsk(ask);
-  CHECK(bytes.size() > at_rest);
-  CHECK(DecodeNewsAsk(bytes)->state.evacuations == ask.state.evacuations);
-  ask.state.evacuations = {};
-  CHECK(EncodeNewsAsk(ask).size() == at_rest);
-  CHECK(DecodeNewsAsk(EncodeNewsAsk(ask))->state.evacuations.revision == 0);
+  GossipRequest request{MakeState(1, 2), false};
+  const size_t size_without = EncodeGossipRequest(request).size();
+  request.state.evacuations = {7, {"dc-a", "dc-b"}};
+  const std::string bytes = EncodeGossipRequest(request);
+  CHECK(bytes.size() > size_without);
+  CHECK(DecodeGossipRequest(bytes)->state.evacuations ==
+        request.state.evacuations);
+  request.state.evacuations = {};
+  CHECK(EncodeGossipRequest(request).size() == size_without);
+  CHECK(DecodeGossipRequest(EncodeGossipRequest(request))
+            ->state.evacuations.revision == 0);
 }
 
 }  // namespace
--- a/tests/groups_lease_test.cc
+++ b/tests/groups_lease_test.cc
@@ -23,7 +23,7 @@
   std::string name;
   Duration clock_offset{0};
   LeaseKeeper keeper;
-  DomainHold hold;
+  DomainOwnership ownership;
   HolderView holder;
   uint64_t lease_version = 0;
   TimePoint lease_seen;
@@ -62,7 +62,7 @@
         case 1: {  // Read the lease and the holder's heartbeat.
           if (self.lease_version != store.lease_version) {
             self.lease_version = store.lease_version;
-            self.hold.lease = store.lease;
+            self.ownership.lease = store.lease;
             self.lease_seen = now();
           }
           ObserveHolder(self.holder, store.lease.holder,
@@ -70,17 +70,17 @@
           break;
         }
         case 2: {  // Take the domain if allowed; conditional on the version.
-          if (self.hold.lease.holder != self.name &&
+          if (self.ownership.lease.holder != self.name &&
               self.keeper.IsHeld(policy, now()) &&
-              MayTake(self.hold.lease, self.lease_seen, self.holder, policy,
-                      Duration(0), now())) {
+              MayAcquire(self.ownership.lease, self.lease_seen, self.holder,
+                         policy, Duration(0), now())) {
             const uint64_t term = self.keeper.term();
             true_now += paused ? Seconds(10) : Milliseconds(5);
             if (store.lease_version == self.lease_version) {
               store.lease = {self.name, store.lease.fence + 1};
               store.lease_version = ++store.version;
               self.lease_version = store.lease_version;
-              self.hold = {store.lease, term};
+              self.ownership = {store.lease, term};
               self.lease_seen = now();
             }
           }
@@ -91,12 +91,12 @@
       }
       for (FakeController& controller : controllers) {
         const TimePoint at = true_now + controller.clock_offset;
-        if (!MayAct(controller.hold, controller.name, controller.keeper, policy,
-                    at)) {
+        if (!MayAct(controller.ownership, controller.name, controller.keeper,
+                    policy, at)) {
           continue;
         }
         if (last_act && last_actor != controller.name) {
-          RC_ASSERT(true_now - *last_act >= policy.order_life);
+          RC_ASSERT(true_now - *last_act >= policy.order_ttl);
         }
         last_act = true_now;
         last_actor = controller.name;
@@ -113,12 +113,12 @@
   HolderView view;
   ObserveHolder(view, "old", 7, kStart);
   const TimePoint lease_end = kStart + policy.duration;
-  const TimePoint order_arrived = lease_end + policy.order_life;
+  const TimePoint order_arrived = lease_end + policy.order_ttl;
   ObserveHolder(view, "old", 7, order_arrived - Milliseconds(1));
-  CHECK(!MayTake(lease, kStart, view, policy, Duration(0),
-                 order_arrived - Milliseconds(1)));
+  CHECK(!MayAcquire(lease, kStart, view, policy, Duration(0),
+                    order_arrived - Milliseconds(1)));
   ObserveHolder(view, "old", 7, order_arrived);
-  CHECK(MayTake(lease, kStart, view, policy, Duration(0), order_arrived));
+  CHECK(MayAcquire(lease, kStart, view, policy, Duration(0), order_arrived));
 }
 
 TEST_CASE(
@@ -129,8 +129,8 @@
   const LeasePolicy policy;
   HolderView view;
   ObserveHolder(view, "old", 7, kStart);
-  CHECK(!MayTake({"old", 3}, kStart, view, policy, Duration(0),
-                 kStart + Seconds(3600)));
+  CHECK(!MayAcquire({"old", 3}, kStart, view, policy, Duration(0),
+                    kStart + Seconds(3600)));
 }
 
 }  // namespace
--- a/tests/groups_test.cc
+++ b/tests/groups_test.cc
@@ -65,9 +65,9 @@
     for (auto& [host, engine] : m_engines) {
       MemberEvidence evidence;
       evidence.OnConnect(m_now);
-      BeatLine beat;
+      HeartbeatLine beat;
       beat.report = engine.report;
-      evidence.OnBeat(beat, m_now);
+      evidence.OnHeartbeatLine(beat, m_now);
       if (!engine.alive) {
         evidence.OnDisconnected();
       }
@@ -77,7 +77,7 @@
                           m_wanted, m_may_roll, m_phase_since};
     Plan plan = PlanDomain(input, kPolicy, m_now);
     for (const MemberOrder& order : plan.orders) {
-      Obey(order);
+      Execute(order);
     }
     if (!plan.change) {
       return "";
@@ -134,7 +134,7 @@
     bool alive = true;
   };
 
-  void Obey(const MemberOrder& order) {
+  void Execute(const MemberOrder& order) {
     if (const auto* leave = std::get_if<LeaveOrder>(&order)) {
       MemberReport& report = m_engines.at(leave->host).report;
       report.group.clear();
@@ -158,8 +158,8 @@
   std::map<std::string, TimePoint> m_phase_since;
 };
 
-void PassUntilQuiet(FakeDomain& domain, int most = 40) {
-  for (int i = 0; i < most; ++i) {
+void RunPasses(FakeDomain& domain, int passes = 40) {
+  for (int i = 0; i < passes; ++i) {
     domain.Pass();
   }
 }
@@ -168,11 +168,11 @@
   // Callers see the group gone for one load. A host dies; a free one takes its
   // place in a new epoch.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   REQUIRE(domain.CountServing() == 2);
   const Group before = domain.m_state.groups[0];
   domain.Kill(before.members[1]);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const Group& after = domain.m_state.groups[0];
   CHECK(domain.CountServing() == 2);
   CHECK(after.epoch > before.epoch);
@@ -185,14 +185,14 @@
   // Callers see refusals, never half an answer. The only host that could help
   // is the lost one itself.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string victim = domain.m_state.groups[0].members[2];
   domain.Kill(victim);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 1);
   CHECK(domain.m_state.groups[0].phase == GroupPhase::kBroken);
   domain.Revive(victim);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
 }
 
@@ -200,7 +200,7 @@
   // Callers see one short gap. A host's engine dies and returns again and
   // again; after the first loss it is a spare that has not settled.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string victim = domain.m_state.groups[0].members[0];
   int repairs = 0;
   for (int flap = 0; flap < 10; ++flap) {
@@ -218,10 +218,10 @@
   // Callers of the group would wait for a second repair at once. The only free
   // host flapped a moment ago; the group waits for it to hold out.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string flapping = domain.m_state.groups[0].members[0];
   domain.Kill(flapping);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   domain.Revive(flapping);
   domain.Kill(domain.m_state.groups[0].members[0]);
   CHECK(domain.Pass() == "break");
@@ -237,12 +237,12 @@
   // controller's order reaches an engine that ignores fencing numbers, and the
   // engine leaves its group without its host being lost.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string host = domain.m_state.groups[0].members[1];
   const uint64_t epoch = domain.m_state.groups[0].epoch;
   domain.Revive(host);
   CHECK(domain.Pass() == "reload");
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
   CHECK(domain.m_state.groups[0].epoch > epoch);
 }
@@ -251,7 +251,7 @@
   // Callers keep the capacity of the other replica. Version v2 is declared and
   // fails to load on the first replica that tries it.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   ServingGroup& declared = domain.m_resources.serving_groups["g"];
   declared.model_version = "v2";
   declared.last_good_version = "v1";
@@ -277,14 +277,14 @@
 TEST_CASE("a group leaves a host that the platform takes away, in good order") {
   // Callers in flight finish: the group drains before it changes members.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string leaving = domain.m_state.groups[0].members[0];
   for (PlatformHost& host : domain.m_hosts.hosts) {
     host.leaving = host.name == leaving;
   }
   CHECK(domain.Pass() == "drain");
   CHECK(domain.m_state.groups[0].phase == GroupPhase::kDraining);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
   CHECK(FindGroupOfHost(domain.m_state, leaving) == nullptr);
 }
@@ -318,7 +318,7 @@
     for (const std::string& host : dead) {
       domain.Revive(host);
     }
-    PassUntilQuiet(domain, 80);
+    RunPasses(domain, 80);
     RC_ASSERT(domain.CountServing() == 2);
     RC_ASSERT(domain.IsSound());
   }));
@@ -334,14 +334,14 @@
       domain.Pass();
     }
     domain.ForgetViews();
-    PassUntilQuiet(domain);
+    RunPasses(domain);
     REQUIRE(domain.CountServing() == 2);
     domain.Kill(domain.m_state.groups[1].members[0]);
     for (int i = 0; i < deaths; ++i) {
       domain.Pass();
     }
     domain.ForgetViews();
-    PassUntilQuiet(domain);
+    RunPasses(domain);
     CHECK(domain.CountServing() == 2);
     CHECK(domain.IsSound());
   }
@@ -352,11 +352,11 @@
   // seconds, the member dies after two; the reader wakes and finds lines.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
-  BeatLine beat;
+  HeartbeatLine beat;
   beat.engine_clock_us = 7'000'000;
-  evidence.OnBeat(beat, kStart + Seconds(10));
+  evidence.OnHeartbeatLine(beat, kStart + Seconds(10));
   beat.engine_clock_us = 9'000'000;
-  evidence.OnBeat(beat, kStart + Seconds(10));
+  evidence.OnHeartbeatLine(beat, kStart + Seconds(10));
   CHECK(*evidence.alive_at() == kStart + Seconds(2));
 }
 
@@ -366,18 +366,19 @@
   // seconds old, and the member lost.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
-  evidence.OnBeat({5'000'000, std::nullopt}, kStart + Seconds(3));
-  CHECK(evidence.IsLoose());
+  evidence.OnHeartbeatLine({5'000'000, std::nullopt}, kStart + Seconds(3));
+  CHECK(evidence.NeedsReconnect());
   evidence.OnConnect(kStart + Seconds(4));
-  evidence.OnBeat({6'001'000, std::nullopt}, kStart + Milliseconds(4002));
-  CHECK(!evidence.IsLoose());
+  evidence.OnHeartbeatLine({6'001'000, std::nullopt},
+                           kStart + Milliseconds(4002));
+  CHECK(!evidence.NeedsReconnect());
 }
 
 TEST_CASE("property: no bytes crash the reading of a line or a stored value") {
   REQUIRE(rc::check("values", [] {
     const auto bytes = *rc::gen::container<std::string>(rc::gen::elementOf(
         std::string("{}[]\":,trgroupsholderfence0123456789-\xff\x80 \n")));
-    ParseBeatLine(bytes);
+    ParseHeartbeatLine(bytes);
     ParseDomainState(bytes);
     ParseDomainHosts("d", bytes);
     DomainState state;
--- a/tests/keyed_test.cc
+++ b/tests/keyed_test.cc
@@ -15,7 +15,7 @@
 /// take effect late, or take effect and be answered with nothing.
 struct FakeStore {
   std::map<std::string, std::pair<std::string, uint64_t>> objects;
-  std::deque<WriteKeyObject> on_their_way;
+  std::deque<WriteKeyObject> delayed_writes;
   uint64_t revision = 0;
   bool down = false;
 
@@ -30,7 +30,7 @@
   }
 };
 
-enum class WriteFate { kAnswered, kLostAnswer, kLate, kNever };
+enum class WriteOutcome { kAnswered, kResponseLost, kDelayed, kDropped };
 
 /// One owner of the partition and the answers that it gave.
 class FakeOwner {
@@ -38,39 +38,39 @@
   FakeOwner(FakeStore& store, KeyPartitionPolicy policy)
       : m_store(store), m_partition("p", policy) {}
 
-  void Submit(uint64_t id, const KeyOrder& order, TimePoint now) {
-    m_partition.Submit(id, order, now);
+  void Submit(uint64_t id, const KeyOperation& operation, TimePoint now) {
+    m_partition.Submit(id, operation, now);
   }
 
-  template <typename Fate>
-  void Tick(TimePoint now, Fate fate) {
+  template <typename OutcomeSource>
+  void Tick(TimePoint now, OutcomeSource next_outcome) {
     Run(m_partition.OnTick([](const std::string&, uint64_t) { return true; },
                            now, 0),
-        fate);
+        next_outcome);
   }
 
   std::map<uint64_t, KeyAnswer> answers;
   uint64_t writes() const { return m_partition.writes(); }
 
  private:
-  template <typename Fate>
-  void Run(std::vector<KeyAction> actions, Fate fate) {
+  template <typename OutcomeSource>
+  void Run(std::vector<KeyAction> actions, OutcomeSource next_outcome) {
     for (const KeyAction& action : actions) {
-      if (const auto* answer = std::get_if<AnswerOrder>(&action)) {
+      if (const auto* answer = std::get_if<AnswerKeyOperation>(&action)) {
         answers[answer->id] = answer->answer;
       } else if (const auto* read = std::get_if<ReadKeyObject>(&action)) {
-        Read(*read, fate);
+        Read(*read, next_outcome);
       } else {
-        Write(std::get<WriteKeyObject>(action), fate);
+        Write(std::get<WriteKeyObject>(action), next_outcome);
       }
     }
   }
 
-  template <typename Fate>
-  void Read(const ReadKeyObject& read, Fate fate) {
+  template <typename OutcomeSource>
+  void Read(const ReadKeyObject& read, OutcomeSource next_outcome) {
     if (m_store.down) {
       Run(m_partition.OnRead(read.key, KeyStoreStatus::kUnavailable, "", 0),
-          fate);
+          next_outcome);
       return;
     }
     const auto object = m_store.objects.find(read.key);
@@ -79,27 +79,27 @@
             read.key, found ? KeyStoreStatus::kOk : KeyStoreStatus::kNotFound,
             found ? object->second.first : "",
             found ? object->second.second : 0),
-        fate);
+        next_outcome);
   }
 
-  template <typename Fate>
-  void Write(const WriteKeyObject& write, Fate fate) {
+  template <typename OutcomeSource>
+  void Write(const WriteKeyObject& write, OutcomeSource next_outcome) {
     uint64_t version = 0;
     KeyStoreStatus status = KeyStoreStatus::kUnavailable;
-    switch (m_store.down ? WriteFate::kNever : fate()) {
-      case WriteFate::kAnswered:
+    switch (m_store.down ? WriteOutcome::kDropped : next_outcome()) {
+      case WriteOutcome::kAnswered:
         status = m_store.Write(write, &version);
         break;
-      case WriteFate::kLostAnswer:
+      case WriteOutcome::kResponseLost:
         m_store.Write(write, &version);
         break;
-      case WriteFate::kLate:
-        m_store.on_their_way.push_back(write);
+      case WriteOutcome::kDelayed:
+        m_store.delayed_writes.push_back(write);
         break;
-      case WriteFate::kNever:
+      case WriteOutcome::kDropped:
         break;
     }
-    Run(m_partition.OnWritten(write.key, status, version), fate);
+    Run(m_partition.OnWritten(write.key, status, version), next_outcome);
   }
 
   FakeStore& m_store;
@@ -110,7 +110,7 @@
   return {key, "claim-" + std::to_string(number), "n", 1, "same request"};
 }
 
-const auto kAnswered = [] { return WriteFate::kAnswered; };
+const auto kAnswered = [] { return WriteOutcome::kAnswered; };
 
 TEST_CASE("a second try on another entry host is not run again") {
   // The caller gets the first answer again. Its first try ran through one
@@ -161,7 +161,7 @@
   const auto lose_first = [&lost] {
     const bool now_lost = !lost;
     lost = true;
-    return now_lost ? WriteFate::kLostAnswer : WriteFate::kAnswered;
+    return now_lost ? WriteOutcome::kResponseLost : WriteOutcome::kAnswered;
   };
   owner.Submit(1, Claim("k", 1), kStart);
   for (int i = 0; i < 10; ++i) {
@@ -218,17 +218,18 @@
     std::vector<FakeOwner> owners;
     owners.emplace_back(store, policy);
     owners.emplace_back(store, policy);
-    const auto fate = [] {
-      return *rc::gen::element(WriteFate::kAnswered, WriteFate::kAnswered,
-                               WriteFate::kAnswered, WriteFate::kLostAnswer,
-                               WriteFate::kLate, WriteFate::kNever);
+    const auto next_outcome = [] {
+      return *rc::gen::element(WriteOutcome::kAnswered, WriteOutcome::kAnswered,
+                               WriteOutcome::kAnswered,
+                               WriteOutcome::kResponseLost,
+                               WriteOutcome::kDelayed, WriteOutcome::kDropped);
     };
-    struct Asked {
+    struct PendingClaim {
       std::string key;
       std::string claim_id;
       bool abandoned = false;
     };
-    std::map<uint64_t, Asked> claims;
+    std::map<uint64_t, PendingClaim> claims;
     std::set<uint64_t> seen;
     std::map<std::string, int> runs;
     uint64_t next_id = 0;
@@ -244,25 +245,25 @@
         claims[id] = {key, "claim-" + std::to_string(id)};
         owner.Submit(id, Claim(key, static_cast<int>(id)), now);
       }
-      owner.Tick(now, fate);
-      if (!store.on_their_way.empty() && *rc::gen::arbitrary<bool>()) {
+      owner.Tick(now, next_outcome);
+      if (!store.delayed_writes.empty() && *rc::gen::arbitrary<bool>()) {
         uint64_t version = 0;
-        store.Write(store.on_their_way.front(), &version);
-        store.on_their_way.pop_front();
+        store.Write(store.delayed_writes.front(), &version);
+        store.delayed_writes.pop_front();
       }
       for (FakeOwner& each : owners) {
         for (const auto& [id, answer] : each.answers) {
           if (!claims.contains(id) || !seen.insert(id).second) {
             continue;
           }
-          Asked& asked = claims[id];
+          PendingClaim& pending = claims[id];
           if (answer.verdict == KeyVerdict::kRun) {
-            ++runs[asked.key];
-            RC_ASSERT(runs[asked.key] <= 1);
+            ++runs[pending.key];
+            RC_ASSERT(runs[pending.key] <= 1);
           } else if (answer.verdict == KeyVerdict::kUnavailable) {
             // As the entry host does: what it will not run it abandons.
             each.Submit(++next_id,
-                        KeyCompletion{asked.key, asked.claim_id,
+                        KeyCompletion{pending.key, pending.claim_id,
                                       Outcome::kNotRun, 0, "", "", false},
                         now);
           }
@@ -274,10 +275,10 @@
 
 TEST_CASE("property: no stored or received bytes crash their reading") {
   REQUIRE(rc::check("bytes", [] {
-    std::string bytes = EncodeKeyOrder(Claim("k", 1));
+    std::string bytes = EncodeKeyOperation(Claim("k", 1));
     bytes[*rc::gen::inRange<size_t>(0, bytes.size())] =
         static_cast<char>(*rc::gen::inRange(0, 256));
-    DecodeKeyOrder(bytes);
+    DecodeKeyOperation(bytes);
     DecodeKeyAnswer(bytes);
     FakeStore store;
     store.objects["keyed/p/head"] = {
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -316,7 +316,7 @@
   for (int i = 0; i < 2; ++i) {
     CallResult result;
     HttpCallRequest request;
-    request.most_kept = 0;
+    request.max_kept = 0;
     HttpCallEvents events;
     events.on_end = [&result](int) { result.ended = true; };
     const auto call =
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("a message of another protocol version is refused with the version") {
-  const std::string bytes = EncodePeerMessage(KeyedAnswer{{"v"}});
+  const std::string bytes = EncodePeerMessage(KeyedReply{{"v"}});
   CHECK(DecodePeerMessage(bytes));
   std::string other = bytes;
   other[2] = 2;  // The version is the second element of the array.
--- a/tests/platform_backpressure_test.cc
+++ b/tests/platform_backpressure_test.cc
@@ -13,7 +13,7 @@
 
 /// What the platform allows of a limit of `per_second` in any four seconds.
 constexpr Duration kLimitWindow = Seconds(4);
-size_t MostInWindow(double per_second) {
+size_t MaxInWindow(double per_second) {
   return static_cast<size_t>(1.5 * per_second * ToSeconds(kLimitWindow) + 5);
 }
 
@@ -58,7 +58,7 @@
 
 /// The most requests that arrived in any four seconds, from the one numbered
 /// `first` on.
-size_t MostArrivals(const PlatformRunnerStandin& server, size_t first) {
+size_t MaxArrivals(const PlatformRunnerStandin& server, size_t first) {
   const std::vector<SeenRequest>& seen = server.seen();
   size_t most = 0;
   size_t begin = first;
@@ -94,13 +94,13 @@
     site.AskNext();
   }
   for (size_t i = 0; i < site.plain.size(); ++i) {
-    CHECK(MostArrivals(*site.plain[i], told[i]) <= MostInWindow(kLimit));
+    CHECK(MaxArrivals(*site.plain[i], told[i]) <= MaxInWindow(kLimit));
   }
 }
 
 /// Requests that the platform allows of an entry host to a server that asked it
 /// for rest, from this long after that until the end of the rest.
-constexpr size_t kMostWhileResting = 2;
+constexpr size_t kMaxWhileResting = 2;
 constexpr Duration kRestGrace = Milliseconds(500);
 
 /// Callers that begin a stream at even intervals, whatever becomes of those
@@ -166,7 +166,7 @@
       refusals.begin(), refusals.end(), [&](const RefusedRequest& refused) {
         return refused.at - told > kRestGrace && refused.at - told < kRest;
       });
-  CHECK(static_cast<size_t>(late) <= kMostWhileResting);
+  CHECK(static_cast<size_t>(late) <= kMaxWhileResting);
   callers.Stop();
   CHECK(RunUntil(site.loop, [&callers] { return callers.AllServed(); }));
 }
--- a/tests/platform_evacuation_test.cc
+++ b/tests/platform_evacuation_test.cc
@@ -201,7 +201,7 @@
 
 /// What a cold server of the sites below bears in a second, and what ends it.
 constexpr double kBorne = 4;
-constexpr size_t kMostInSecond = 11;
+constexpr size_t kMaxInSecond = 11;
 
 Json ColdConfig() {
   Json config = MakeConfig(1);
@@ -233,7 +233,7 @@
   site.Wait(kInForce);
   PressOnY(site, 5);
   CHECK(!cold.is_dead());
-  CHECK(cold.MostInSecond(since) <= kMostInSecond);
+  CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
   CHECK(cold.seen().size() > 0);
   site.Wait(Seconds(2));
   // Warm: each entry host may send to it.
@@ -253,7 +253,7 @@
   site.store.Remove("evacuations", "y");
   PressOnY(site, 5);
   CHECK(!cold.is_dead());
-  CHECK(cold.MostInSecond(since) <= kMostInSecond);
+  CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
 }
 
 TEST_CASE("regions: a request reaches servers of its regions only") {
--- a/tests/platform_poison_test.cc
+++ b/tests/platform_poison_test.cc
@@ -12,7 +12,7 @@
 /// Servers that such a request may end before it is known, and the most that it
 /// may reach after that and a stable window, over the whole fleet.
 constexpr int kEndsThatTell = 3;
-constexpr int kMostEndsAfter = 3;
+constexpr int kMaxEndsAfter = 3;
 /// Time for all entry hosts to agree, as the platform grants it.
 constexpr Duration kStableWindow = Seconds(3);
 /// Copies sent after that.
@@ -95,16 +95,17 @@
   const int ended = site.CountEnded();
   for (int i = 0; i < kCopiesAfter; ++i) {
     site.SendCopy("/s/poison");
-    REQUIRE(site.CountEnded() - ended <= kMostEndsAfter);
+    REQUIRE(site.CountEnded() - ended <= kMaxEndsAfter);
   }
 }
 
 /// Ends servers until the request is refused everywhere.
 void Mark(PoisonSite& site) {
   const auto is_known = [&site] {
-    return std::all_of(
-        site.nodes.begin(), site.nodes.end(),
-        [](const auto& node) { return !node->host.poison().Marks().empty(); });
+    return std::all_of(site.nodes.begin(), site.nodes.end(),
+                       [](const auto& node) {
+                         return !node->host.poison().ActiveBlocks().empty();
+                       });
   };
   while (site.CountEnded() < kEndsThatTell) {
     REQUIRE(site.copies < 10);
@@ -146,7 +147,7 @@
   site.nodes.clear();
   EntryNode& fresh = site.AddEntryHost();
   const auto has_read = [&fresh] {
-    return !fresh.host.poison().Marks().empty();
+    return !fresh.host.poison().ActiveBlocks().empty();
   };
   REQUIRE(RunUntil(site.loop, has_read));
   const int ended = site.CountEnded();
@@ -195,7 +196,7 @@
     REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
     CHECK(answer.status == 200);
     CHECK(answer.body == WholeStream(20));
-    REQUIRE(site.CountEnded() - ended <= kMostEndsAfter);
+    REQUIRE(site.CountEnded() - ended <= kMaxEndsAfter);
   }
 }
 
--- a/tests/platform_readers_test.cc
+++ b/tests/platform_readers_test.cc
@@ -17,7 +17,7 @@
 
 /// Memory of the entry host, in MiB, and what it may hold for callers.
 constexpr int kMemoryMb = 16;
-constexpr size_t kMostHeld = 4 * 1024 * 1024;
+constexpr size_t kMaxHeld = 4 * 1024 * 1024;
 constexpr Duration kUnreadTimeout = Seconds(2);
 
 /// A caller that begins a stream and takes at most `per_read` bytes of it at a
@@ -86,21 +86,21 @@
         site.host->caller_address(), "deaf-" + std::to_string(i), 0));
   }
   SlowCaller slow(site.host->caller_address(), "slow", 20'000);
-  size_t most_held = 0;
+  size_t max_held = 0;
   const auto watch = site.loop.Every(Milliseconds(20), [&] {
     slow.Read();
-    most_held = std::max(most_held, site.host->HeldBytes());
+    max_held = std::max(max_held, site.host->HeldBytes());
   });
-  REQUIRE(RunUntil(site.loop, [&] { return most_held > kMostHeld / 4; }));
+  REQUIRE(RunUntil(site.loop, [&] { return max_held > kMaxHeld / 4; }));
   HttpClient client(site.loop, 4);
   Answer answer;
   const auto call = Ask(site, client, "/safe/x", "beside", answer);
   REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
   CHECK(answer.status == 200);
   REQUIRE(
-      RunUntil(site.loop, [&] { return site.host->callers_let_go() >= 8; }));
+      RunUntil(site.loop, [&] { return site.host->dropped_callers() >= 8; }));
   // One round of reading of each stream may come beyond the bound.
-  CHECK(most_held < 2 * kMostHeld);
+  CHECK(max_held < 2 * kMaxHeld);
   CHECK(slow.bytes_read() > 100'000);
 }
 
--- a/tests/platform_return_test.cc
+++ b/tests/platform_return_test.cc
@@ -27,12 +27,12 @@
                                           "[store]\naddress = 127.0.0.1:9\n",
                                           "test.ini")),
         engines(loop),
-        host(loop, settings, dialect, engines) {
+        host(loop, settings, header_codec, engines) {
     host.OnServers(Registered("s1", 10));
   }
 
   EventLoop loop;
-  platform::PlatformDialect dialect;
+  platform::PlatformDialect header_codec;
   Settings settings;
   platform::PlatformEngines engines;
   EntryHost host;
@@ -43,7 +43,7 @@
   Host site;
   site.host.OnStoreLost();
   site.host.OnStoreReturned();
-  CHECK(site.host.OwnNews().store_back_for.has_value());
+  CHECK(site.host.OwnGossipState().store_back_for.has_value());
 }
 
 TEST_CASE("a host that was cut off alone tells of no return of the store") {
@@ -56,7 +56,7 @@
   site.host.OnStoreLost();
   site.host.OnServers(Registered("s2", 400));
   site.host.OnStoreReturned();
-  CHECK_FALSE(site.host.OwnNews().store_back_for.has_value());
+  CHECK_FALSE(site.host.OwnGossipState().store_back_for.has_value());
 }
 
 TEST_CASE(
--- a/tests/platform_site.h
+++ b/tests/platform_site.h
@@ -49,7 +49,7 @@
             const Address& store,
             const std::string& name,
             const SiteOptions& site,
-            const CallDialect& dialect,
+            const CallHeaderCodec& header_codec,
             const SiteDecoder& decoder)
       : engines(loop),
         settings(*EntrySchema().ParseText(
@@ -64,7 +64,7 @@
                 "[ready]\nlisten = 127.0.0.1:0\n[store]\naddress = " +
                 store.ToString() + "\n",
             "test.ini")),
-        host(loop, settings, dialect, engines),
+        host(loop, settings, header_codec, engines),
         listening(host.Listen().has_value()),
         client(loop, store, MakeStorePolicy(), host, 1),
         peers(loop,
@@ -158,7 +158,7 @@
     const std::string name = "e" + std::to_string(nodes.size() + 1);
     nodes.push_back(std::make_unique<EntryNode>(
         loop, apart ? store.second_address() : store.address(), name, options,
-        dialect, decoder));
+        header_codec, decoder));
     return *nodes.back();
   }
 
@@ -175,7 +175,7 @@
   PlatformStoreStandin store;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> runners;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> plain;
-  platform::PlatformDialect dialect;
+  platform::PlatformDialect header_codec;
   platform::PlatformDecoder decoder;
   std::vector<std::unique_ptr<EntryNode>> nodes;
   /// The first entry host.
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -100,7 +100,7 @@
   // hold it.
   const Json spec = MakeHostSpec();
   REQUIRE(platform::DecodeServer("i", spec));
-  CHECK(platform::DecodeServer("i", spec)->born_ms == 1796000000000);
+  CHECK(platform::DecodeServer("i", spec)->process_start_ms == 1796000000000);
   const std::vector<std::pair<std::string, Json>> wrong = {
       {"/state", "banana"},
       {"/state", nullptr},
@@ -216,7 +216,7 @@
   }
   CHECK_FALSE(platform::DecodeReport({{"running", 1e300}}));
   CHECK_FALSE(platform::DecodeReport({{"born", 0.5}}));
-  CHECK(platform::DecodeReport({{"born", 5}})->born_ms == 5);
+  CHECK(platform::DecodeReport({{"born", 5}})->process_start_ms == 5);
 }
 
 /// Notes what the store client tells.
@@ -225,7 +225,7 @@
     versions.push_back(catalog->version());
   }
   void OnServers(ServerChanges changes) override {
-    if (changes.whole) {
+    if (changes.is_complete) {
       ++listings;
       servers.clear();
     }
@@ -429,13 +429,13 @@
 }
 
 TEST_CASE("a limit that a runner names is read, and a damaged one is not") {
-  const platform::PlatformDialect dialect;
-  const auto read = [&dialect](const std::string& text) {
-    return dialect.ReadAnswer(200, {{"Server-Limit", text}}).rate_limit;
+  const platform::PlatformDialect header_codec;
+  const auto read = [&header_codec](const std::string& text) {
+    return header_codec.ReadAnswer(200, {{"Server-Limit", text}}).rate_limit;
   };
   CHECK(read("2.4") == 2.4);
   CHECK(read("0") == 0.0);
-  CHECK_FALSE(dialect.ReadAnswer(200, {}).rate_limit.has_value());
+  CHECK_FALSE(header_codec.ReadAnswer(200, {}).rate_limit.has_value());
   for (const char* text : {"-1", "nan", "inf", "2.4x", "many"}) {
     CHECK_FALSE(read(text).has_value());
   }
@@ -443,20 +443,20 @@
 
 TEST_CASE(
     "a rest is read with a refusal alone, and a leaving server is known") {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformDialect header_codec;
   const HttpHeaders rest = {{"X-Not-Executed", "1"}, {"Retry-After", "1.5"}};
-  CHECK(dialect.ReadAnswer(503, rest).rest == Milliseconds(1500));
-  CHECK_FALSE(dialect.ReadAnswer(200, rest).rest.has_value());
-  CHECK_FALSE(dialect.ReadAnswer(503, {}).rest.has_value());
+  CHECK(header_codec.ReadAnswer(503, rest).backoff == Milliseconds(1500));
+  CHECK_FALSE(header_codec.ReadAnswer(200, rest).backoff.has_value());
+  CHECK_FALSE(header_codec.ReadAnswer(503, {}).backoff.has_value());
   for (const char* text : {"-3", "soon", "nan", ""}) {
-    CHECK_FALSE(
-        dialect.ReadAnswer(503, {{"Retry-After", text}}).rest.has_value());
+    CHECK_FALSE(header_codec.ReadAnswer(503, {{"Retry-After", text}})
+                    .backoff.has_value());
   }
-  CHECK(dialect.ReadAnswer(503, {{"Retry-After", "1e300"}}).rest <
+  CHECK(header_codec.ReadAnswer(503, {{"Retry-After", "1e300"}}).backoff <
         Seconds(4000));
-  CHECK(dialect.ReadAnswer(200, {{"Server-Leaving", "1"}}).leaving);
-  CHECK_FALSE(dialect.ReadAnswer(200, {{"Server-Leaving", "0"}}).leaving);
-  CHECK_FALSE(dialect.ReadAnswer(200, {}).leaving);
+  CHECK(header_codec.ReadAnswer(200, {{"Server-Leaving", "1"}}).leaving);
+  CHECK_FALSE(header_codec.ReadAnswer(200, {{"Server-Leaving", "0"}}).leaving);
+  CHECK_FALSE(header_codec.ReadAnswer(200, {}).leaving);
 }
 
 }  // namespace
--- a/tests/poison_cost.cc
+++ b/tests/poison_cost.cc
@@ -36,14 +36,16 @@
   for (int server = 0; server < kServers; ++server) {
     for (int slot = 0; slot < kSlots; ++slot) {
       const std::string body = std::to_string(++request);
-      ledger.Note(EndedUnder{{"i-0123456789", 1796269846484},
+      ledger.Note(
+          EndedDuringRequest{{"i-0123456789", 1796269846484},
                              DigestRequest({"POST", "h", "/x", "w", body}),
                              EndProgress::kAnswering},
-                  now);
-      ledger.Note(EndedUnder{{"s" + std::to_string(server), 1796269846484},
+          now);
+      ledger.Note(
+          EndedDuringRequest{{"s" + std::to_string(server), 1796269846484},
                              DigestRequest({"POST", "h", "/x", "w", body}),
                              EndProgress::kAnswering},
-                  now);
+          now);
     }
   }
   const std::string body(2000, 'x');
@@ -52,17 +54,18 @@
   std::printf("digest of 2,000 bytes: %.2f us\n", MicrosecondsOf([&] {
                 bytes += DigestRequest({"POST", "h", "/x", "w", body}).size();
               }));
-  std::printf("decision, twelve times a second: %.1f us\n",
-              MicrosecondsOf([&] { bytes += ledger.Settle(now).size(); }));
+  std::printf("decision, twelve times a second: %.1f us\n", MicrosecondsOf([&] {
+                bytes += ledger.UpdateBlocks(now).size();
+              }));
   const uint64_t known = ledger.revision() - 1;
   std::printf("answer with one new fact: %.1f us\n", MicrosecondsOf([&] {
                 bytes += ledger.Since(known, now).facts.size();
               }));
-  NewsAnswer rest;
-  NewsAnswer full;
+  GossipReply rest;
+  GossipReply full;
   full.poison = ledger.Since(0, now);
-  const size_t at_rest = EncodeNewsAnswer(rest).size();
-  const size_t with_facts = EncodeNewsAnswer(full).size();
+  const size_t at_rest = EncodeGossipReply(rest).size();
+  const size_t with_facts = EncodeGossipReply(full).size();
   std::printf("a fact in a message: %.1f bytes\n",
               static_cast<double>(with_facts - at_rest) /
                   static_cast<double>(full.poison.facts.size()));
--- a/tests/poison_fixture.h
+++ b/tests/poison_fixture.h
@@ -10,11 +10,11 @@
 
 inline const TimePoint kStart{Seconds(1000)};
 
-inline RequestDigest Name(int number) {
+inline RequestDigest MakeDigest(int number) {
   return DigestRequest({"POST", "h", "/s/x", "w", std::to_string(number)});
 }
 
-inline ServerLife Server(int number) {
+inline ServerInstance MakeServerInstance(int number) {
   return {"s" + std::to_string(number), 0};
 }
 
--- a/tests/poison_fleet_test.cc
+++ b/tests/poison_fleet_test.cc
@@ -14,26 +14,27 @@
 /// Entry hosts that tell each other of ends, with a culprit whose copies come
 /// to any of them and innocent requests beside it. Hosts start anew, join late
 /// and are cut off from each other.
-class FleetRun {
+class FleetSimulation {
  public:
-  static constexpr int kCulprit = 0;
-  static constexpr int kInnocents = 60;
+  static constexpr int kPoisonRequest = 0;
+  static constexpr int kUnrelatedRequests = 60;
   static constexpr int kSlots = 12;
   static constexpr Duration kRound = Milliseconds(150);
   static constexpr Duration kWindow = Seconds(3);
   /// After a cut, until all are told and have settled.
-  static constexpr Duration kHeals = Seconds(1);
+  static constexpr Duration kHealTime = Seconds(1);
 
   /// When hosts are killed.
-  enum class Kills {
+  enum class KillTiming {
     /// Not within two rounds of an end: what a host knew alone goes with it.
-    kOnceTold,
+    kAfterReport,
     /// At any moment.
     kAnyMoment,
   };
 
-  explicit FleetRun(uint64_t seed, Kills kills = Kills::kOnceTold)
-      : m_random(seed), m_kills(kills) {
+  explicit FleetSimulation(uint64_t seed,
+                           KillTiming kill_timing = KillTiming::kAfterReport)
+      : m_random(seed), m_kill_timing(kill_timing) {
     const int hosts = Draw(2, 10);
     for (int i = 0; i < hosts; ++i) {
       Join();
@@ -43,20 +44,20 @@
   /// Sends of the culprit after the third end and the window, by hosts that
   /// were neither cut off nor started within it.
   int late_sends() const { return m_late_sends; }
-  int innocents_refused() const { return m_innocents_refused; }
+  int unrelated_refused() const { return m_unrelated_refused; }
   /// Innocent requests that were refused, by digest, and the longest time from
   /// the first to the last refusal of one of them.
-  size_t distinct_innocents_refused() const { return m_first_refusal.size(); }
-  Duration longest_refusal() const { return m_longest_refusal; }
+  size_t distinct_unrelated_refused() const { return m_first_refusal.size(); }
+  Duration max_refusal() const { return m_max_refusal; }
   int ends() const { return m_ends; }
 
   void Run() {
     for (m_now = kStart; m_now < kStart + Seconds(20); m_now += kStep) {
-      Disturb();
+      InjectFault();
       Exchange();
-      SendInnocents();
+      SendUnrelatedRequest();
       if (Draw(0, 9) == 0) {
-        SendCulprit();
+        SendPoisonRequest();
       }
     }
   }
@@ -67,38 +68,38 @@
   struct Host {
     PoisonLedger ledger;
     std::vector<uint64_t> known = {};
-    TimePoint asks_at = kStart;
-    TimePoint calm_since = kStart;
-    TimePoint had_culprit = {};
-    bool cut = false;
-    TimePoint cut_until = kStart;
+    TimePoint next_request = kStart;
+    TimePoint connected_since = kStart;
+    TimePoint last_poison_request = {};
+    bool partitioned = false;
+    TimePoint partitioned_until = kStart;
   };
 
-  int Draw(int least, int most) {
-    return std::uniform_int_distribution<int>(least, most)(m_random);
+  int Draw(int min, int max) {
+    return std::uniform_int_distribution<int>(min, max)(m_random);
   }
 
   void Join() {
     Host host{PoisonLedger(PoisonPolicy{}, m_random() >> 20)};
-    host.asks_at = host.calm_since = m_now;
+    host.next_request = host.connected_since = m_now;
     m_hosts.push_back(std::move(host));
-    ReadRecord(m_hosts.back());
+    LoadRecord(m_hosts.back());
   }
 
   /// The marks that the first host knew a moment ago.
-  void ReadRecord(Host& host) {
-    for (const Marked& mark : m_hosts.front().ledger.Marks()) {
-      host.ledger.Note(mark, m_now);
+  void LoadRecord(Host& host) {
+    for (const Blocked& block : m_hosts.front().ledger.ActiveBlocks()) {
+      host.ledger.Note(block, m_now);
     }
   }
 
-  void Disturb() {
+  void InjectFault() {
     for (Host& host : m_hosts) {
-      if (host.cut && m_now >= host.cut_until) {
-        host.cut = false;
-        host.calm_since = m_now;
+      if (host.partitioned && m_now >= host.partitioned_until) {
+        host.partitioned = false;
+        host.connected_since = m_now;
       }
-      m_whole_since = host.cut ? m_now : m_whole_since;
+      m_no_partition_since = host.partitioned ? m_now : m_no_partition_since;
     }
     if (Draw(0, 399) != 0) {
       return;
@@ -113,8 +114,8 @@
         if (&host != &m_hosts.front() && MayKill(host)) {
           host.ledger = PoisonLedger(PoisonPolicy{}, m_random() >> 20);
           host.known.clear();
-          host.calm_since = m_now;
-          ReadRecord(host);
+          host.connected_since = m_now;
+          LoadRecord(host);
         }
         break;
       case 1:
@@ -124,30 +125,31 @@
         break;
       default:
         if (&host != &m_hosts.front()) {
-          host.cut = true;
-          host.cut_until = m_now + Milliseconds(Draw(50, 5000));
+          host.partitioned = true;
+          host.partitioned_until = m_now + Milliseconds(Draw(50, 5000));
         }
     }
   }
 
   bool MayKill(const Host& host) const {
-    return m_kills == Kills::kAnyMoment ||
-           (!host.cut && m_now - host.had_culprit > 2 * kRound);
+    return m_kill_timing == KillTiming::kAnyMoment ||
+           (!host.partitioned && m_now - host.last_poison_request > 2 * kRound);
   }
 
   void Exchange() {
     for (size_t i = 0; i < m_hosts.size(); ++i) {
       Host& host = m_hosts[i];
       host.known.resize(m_hosts.size());
-      if (host.cut || m_now < host.asks_at) {
+      if (host.partitioned || m_now < host.next_request) {
         continue;
       }
-      host.asks_at = m_now + kRound + Milliseconds(Draw(0, 100));
+      host.next_request = m_now + kRound + Milliseconds(Draw(0, 100));
       for (size_t j = 0; j < m_hosts.size(); ++j) {
-        if (i != j && !m_hosts[j].cut) {
-          const PoisonNews news = m_hosts[j].ledger.Since(host.known[j], m_now);
-          host.known[j] = news.revision;
-          for (const TimedPoisonFact& row : news.facts) {
+        if (i != j && !m_hosts[j].partitioned) {
+          const PoisonUpdate update =
+              m_hosts[j].ledger.Since(host.known[j], m_now);
+          host.known[j] = update.revision;
+          for (const TimedPoisonFact& row : update.facts) {
             // Its time on the way is not in its age.
             host.ledger.Note(row.fact,
                              m_now - row.age + Milliseconds(Draw(0, 20)));
@@ -165,80 +167,84 @@
   /// Each server has requests of all hosts, drawn anew for each end; those that
   /// were at the last one come again more often.
   void EndServer(Host& sender) {
-    sender.had_culprit = m_now;
+    sender.last_poison_request = m_now;
     ++m_ends;
     ++m_server;
     if (m_ends == 3) {
-      m_third = m_now;
+      m_third_end = m_now;
     }
     const auto note = [&](Host& host, int request, EndProgress progress) {
-      host.ledger.Note(EndedUnder{Server(m_server), Name(request), progress},
+      host.ledger.Note(EndedDuringRequest{MakeServerInstance(m_server),
+                                          MakeDigest(request), progress},
                        m_now);
     };
-    note(sender, kCulprit, EndProgress::kBegun);
-    std::vector<int> beside;
+    note(sender, kPoisonRequest, EndProgress::kBegun);
+    std::vector<int> concurrent;
     for (int i = 0; i < kSlots; ++i) {
-      const bool follows = !m_last_beside.empty() && Draw(0, 3) == 0;
-      const int request = follows
-                              ? m_last_beside[m_random() % m_last_beside.size()]
-                              : Draw(1, kInnocents);
-      beside.push_back(request);
+      const bool is_retry = !m_last_concurrent.empty() && Draw(0, 3) == 0;
+      const int request =
+          is_retry ? m_last_concurrent[m_random() % m_last_concurrent.size()]
+                   : Draw(1, kUnrelatedRequests);
+      concurrent.push_back(request);
       note(AnyHost(), request,
            Draw(0, 3) == 0 ? EndProgress::kNoAnswer : EndProgress::kAnswering);
     }
-    m_last_beside = beside;
+    m_last_concurrent = concurrent;
   }
 
-  void SendCulprit() {
+  void SendPoisonRequest() {
     Host& host = AnyHost();
-    host.ledger.Settle(m_now);
-    if (host.ledger.IsMarked(Name(kCulprit))) {
+    host.ledger.UpdateBlocks(m_now);
+    if (host.ledger.IsBlocked(MakeDigest(kPoisonRequest))) {
       return;
     }
-    const bool in_touch = !host.cut && m_now - host.calm_since >= kWindow;
-    if (m_ends >= 3 && m_now - m_third > kWindow && in_touch) {
+    const bool in_contact =
+        !host.partitioned && m_now - host.connected_since >= kWindow;
+    if (m_ends >= 3 && m_now - m_third_end > kWindow && in_contact) {
       ++m_late_sends;
     }
     EndServer(host);
   }
 
-  void SendInnocents() {
+  void SendUnrelatedRequest() {
     Host& host = AnyHost();
-    host.ledger.Settle(m_now);
-    const int request = Draw(1, kInnocents);
-    if (host.ledger.IsMarked(Name(request))) {
-      m_innocents_refused += m_now - m_whole_since >= kHeals ? 1 : 0;
+    host.ledger.UpdateBlocks(m_now);
+    const int request = Draw(1, kUnrelatedRequests);
+    if (host.ledger.IsBlocked(MakeDigest(request))) {
+      m_unrelated_refused += m_now - m_no_partition_since >= kHealTime ? 1 : 0;
       NoteRefusal(request);
-      if (!host.cut && host.ledger.MayTry(Name(request), m_now)) {
-        host.ledger.BeginTrial(Name(request), m_now);
-        host.ledger.Note(Cleared{Name(request)}, m_now);
+      if (!host.partitioned &&
+          host.ledger.MayStartTrial(MakeDigest(request), m_now)) {
+        host.ledger.BeginTrial(MakeDigest(request), m_now);
+        host.ledger.Note(Cleared{MakeDigest(request)}, m_now);
       }
       return;
     }
-    if (!host.cut && host.ledger.IsSuspect(Name(request)) && Draw(0, 1) == 0) {
-      host.ledger.Note(Cleared{Name(request)}, m_now);
+    if (!host.partitioned && host.ledger.IsSuspect(MakeDigest(request)) &&
+        Draw(0, 1) == 0) {
+      host.ledger.Note(Cleared{MakeDigest(request)}, m_now);
     }
   }
 
   void NoteRefusal(int request) {
     const auto [first, is_new] = m_first_refusal.try_emplace(request, m_now);
-    m_longest_refusal = std::max(m_longest_refusal, m_now - first->second);
+    m_max_refusal = std::max(m_max_refusal, m_now - first->second);
   }
 
   std::mt19937_64 m_random;
-  Kills m_kills;
+  KillTiming m_kill_timing;
   std::map<int, TimePoint> m_first_refusal;
-  Duration m_longest_refusal{0};
+  Duration m_max_refusal{0};
   TimePoint m_now = kStart;
   std::vector<Host> m_hosts;
   int m_server = 0;
   int m_ends = 0;
-  TimePoint m_third;
+  TimePoint m_third_end;
   /// Since when no host is cut off.
-  TimePoint m_whole_since = kStart - kHeals;
+  TimePoint m_no_partition_since = kStart - kHealTime;
   int m_late_sends = 0;
-  int m_innocents_refused = 0;
-  std::vector<int> m_last_beside;
+  int m_unrelated_refused = 0;
+  std::vector<int> m_last_concurrent;
 };
 
 TEST_CASE(
@@ -250,11 +256,11 @@
   // host that is cut off neither tells nor hears; its sends in that time and
   // within the window after it do not count.
   REQUIRE(rc::check("fleets", [] {
-    FleetRun run(*rc::gen::arbitrary<uint64_t>());
+    FleetSimulation run(*rc::gen::arbitrary<uint64_t>());
     run.Run();
     RC_ASSERT(run.ends() >= 3);
     RC_ASSERT(run.late_sends() <= 3);
-    RC_ASSERT(run.innocents_refused() == 0);
+    RC_ASSERT(run.unrelated_refused() == 0);
   }));
 }
 
@@ -274,10 +280,10 @@
   }
   for (const uint64_t seed : seeds) {
     CAPTURE(seed);
-    FleetRun run(seed, FleetRun::Kills::kAnyMoment);
+    FleetSimulation run(seed, FleetSimulation::KillTiming::kAnyMoment);
     run.Run();
-    CHECK(run.distinct_innocents_refused() <= 1);
-    CHECK(run.longest_refusal() <= until_trial);
+    CHECK(run.distinct_unrelated_refused() <= 1);
+    CHECK(run.max_refusal() <= until_trial);
     CHECK(run.late_sends() <= 3);
   }
 }
@@ -294,10 +300,10 @@
         uint64_t{683364817}, uint64_t{4165254229479},
         uint64_t{2013392701281931944}}) {
     CAPTURE(seed);
-    FleetRun run(seed);
+    FleetSimulation run(seed);
     run.Run();
     CHECK(run.late_sends() <= 3);
-    CHECK(run.innocents_refused() == 0);
+    CHECK(run.unrelated_refused() == 0);
   }
 }
 
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -17,16 +17,19 @@
 
 /// A server ends under the culprit, which had just begun, and under requests
 /// beside it that had run for a while.
-void End(PoisonLedger& ledger,
-         int server,
-         const std::vector<int>& beside,
-         int culprit,
-         TimePoint at) {
-  ledger.Note(EndedUnder{Server(server), Name(culprit), EndProgress::kBegun},
-              at);
-  for (const int other : beside) {
-    ledger.Note(
-        EndedUnder{Server(server), Name(other), EndProgress::kAnswering}, at);
+void ReportEnd(PoisonLedger& ledger,
+               int server,
+               const std::vector<int>& concurrent,
+               int poison_request,
+               TimePoint at) {
+  ledger.Note(
+      EndedDuringRequest{MakeServerInstance(server), MakeDigest(poison_request),
+                         EndProgress::kBegun},
+      at);
+  for (const int other : concurrent) {
+    ledger.Note(EndedDuringRequest{MakeServerInstance(server),
+                                   MakeDigest(other), EndProgress::kAnswering},
+                at);
   }
 }
 
@@ -54,36 +57,36 @@
 
 TEST_CASE("the third end marks a request, once all hosts had time to tell") {
   PoisonLedger ledger = MakeLedger();
-  End(ledger, 1, {}, 0, kStart);
-  End(ledger, 2, {}, 0, kStart);
-  CHECK(ledger.Settle(kStart + kSettled).empty());
-  End(ledger, 3, {}, 0, kStart + Seconds(1));
-  CHECK(ledger.Settle(kStart + Seconds(1)).empty());
-  const auto marked = ledger.Settle(kStart + Seconds(1) + kSettled);
-  REQUIRE(marked.size() == 1);
-  CHECK(marked[0].ends == 3);
-  CHECK(ledger.IsMarked(Name(0)));
-  CHECK(ledger.EndsLaidTo(Name(0), kStart + Seconds(2)) ==
+  ReportEnd(ledger, 1, {}, 0, kStart);
+  ReportEnd(ledger, 2, {}, 0, kStart);
+  CHECK(ledger.UpdateBlocks(kStart + kSettled).empty());
+  ReportEnd(ledger, 3, {}, 0, kStart + Seconds(1));
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(1)).empty());
+  const auto blocked = ledger.UpdateBlocks(kStart + Seconds(1) + kSettled);
+  REQUIRE(blocked.size() == 1);
+  CHECK(blocked[0].ends == 3);
+  CHECK(ledger.IsBlocked(MakeDigest(0)));
+  CHECK(ledger.EndsAttributedTo(MakeDigest(0), kStart + Seconds(2)) ==
         std::vector<std::string>{"s1", "s2", "s3"});
 }
 
 TEST_CASE("where reports pass through few hosts, an end counts later") {
   PoisonLedger ledger = MakeLedger();
-  ledger.SetFar(true);
+  ledger.SetRelayed(true);
   for (int server = 1; server <= 3; ++server) {
-    End(ledger, server, {}, 0, kStart);
+    ReportEnd(ledger, server, {}, 0, kStart);
   }
-  CHECK(ledger.Settle(kStart + Milliseconds(1400)).empty());
-  CHECK(ledger.Settle(kStart + Milliseconds(1600)).size() == 1);
+  CHECK(ledger.UpdateBlocks(kStart + Milliseconds(1400)).empty());
+  CHECK(ledger.UpdateBlocks(kStart + Milliseconds(1600)).size() == 1);
 }
 
 TEST_CASE("one end is one end, however many hosts tell of it") {
   // Six entry hosts had copies at one server, and each tells of its end.
   PoisonLedger ledger = MakeLedger();
   for (int host = 0; host < 6; ++host) {
-    End(ledger, 1, {}, 0, kStart + Milliseconds(host));
+    ReportEnd(ledger, 1, {}, 0, kStart + Milliseconds(host));
   }
-  CHECK(ledger.Settle(kStart + Seconds(5)).empty());
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
 }
 
 TEST_CASE(
@@ -94,40 +97,44 @@
   // for a while each time; the other one had just begun.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
-    End(ledger, server, {1, 10 + server}, 0, kStart + Seconds(server));
+    ReportEnd(ledger, server, {1, 10 + server}, 0, kStart + Seconds(server));
   }
-  ledger.Settle(kStart + Seconds(10));
-  CHECK(ledger.IsMarked(Name(0)));
-  CHECK_FALSE(ledger.IsMarked(Name(1)));
+  ledger.UpdateBlocks(kStart + Seconds(10));
+  CHECK(ledger.IsBlocked(MakeDigest(0)));
+  CHECK_FALSE(ledger.IsBlocked(MakeDigest(1)));
   // Further ends are the marked one's doing, also where nothing had come of
   // the other.
   for (int server = 4; server <= 8; ++server) {
-    ledger.Note(EndedUnder{Server(server), Name(0), EndProgress::kNoAnswer},
+    ledger.Note(EndedDuringRequest{MakeServerInstance(server), MakeDigest(0),
+                                   EndProgress::kNoAnswer},
                 kStart + Seconds(10 + server));
-    ledger.Note(EndedUnder{Server(server), Name(1), EndProgress::kBegun},
+    ledger.Note(EndedDuringRequest{MakeServerInstance(server), MakeDigest(1),
+                                   EndProgress::kBegun},
                 kStart + Seconds(10 + server));
   }
-  ledger.Settle(kStart + Seconds(30));
-  CHECK_FALSE(ledger.IsMarked(Name(1)));
+  ledger.UpdateBlocks(kStart + Seconds(30));
+  CHECK_FALSE(ledger.IsBlocked(MakeDigest(1)));
 }
 
 TEST_CASE("an answer clears a request, and late reports do not bring it back") {
   PoisonLedger ledger = MakeLedger();
-  End(ledger, 1, {}, 0, kStart);
-  End(ledger, 2, {}, 0, kStart);
-  ledger.Note(Cleared{Name(0)}, kStart + Seconds(1));
+  ReportEnd(ledger, 1, {}, 0, kStart);
+  ReportEnd(ledger, 2, {}, 0, kStart);
+  ledger.Note(Cleared{MakeDigest(0)}, kStart + Seconds(1));
   // A host that was cut off tells of an end before that.
   CHECK_FALSE(
-      ledger.Note(EndedUnder{Server(3), Name(0), EndProgress::kBegun}, kStart));
-  CHECK(ledger.Settle(kStart + Seconds(5)).empty());
+      ledger.Note(EndedDuringRequest{MakeServerInstance(3), MakeDigest(0),
+                                     EndProgress::kBegun},
+                  kStart));
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
   CHECK(ledger.IsEmpty());
   // Ends after it count anew.
   for (int server = 4; server <= 6; ++server) {
-    End(ledger, server, {}, 0, kStart + Seconds(6));
+    ReportEnd(ledger, server, {}, 0, kStart + Seconds(6));
   }
-  CHECK(ledger.Settle(kStart + Seconds(8)).size() == 1);
-  ledger.Note(Cleared{Name(0)}, kStart + Seconds(9));
-  CHECK_FALSE(ledger.IsMarked(Name(0)));
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(8)).size() == 1);
+  ledger.Note(Cleared{MakeDigest(0)}, kStart + Seconds(9));
+  CHECK_FALSE(ledger.IsBlocked(MakeDigest(0)));
 }
 
 TEST_CASE("a server that answers again did not end") {
@@ -135,43 +142,43 @@
   // refuses new ones, as ends do. Other hosts get answers from them.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
-    End(ledger, server, {}, 0, kStart);
+    ReportEnd(ledger, server, {}, 0, kStart);
   }
-  CHECK(ledger.EndedAt(Server(1)) == kStart);
-  ledger.Note(FoundAlive{Server(1)}, kStart + Milliseconds(300));
-  CHECK_FALSE(ledger.EndedAt(Server(1)));
-  CHECK(ledger.Settle(kStart + Seconds(5)).empty());
+  CHECK(ledger.EndedAt(MakeServerInstance(1)) == kStart);
+  ledger.Note(FoundAlive{MakeServerInstance(1)}, kStart + Milliseconds(300));
+  CHECK_FALSE(ledger.EndedAt(MakeServerInstance(1)));
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
   // Another host's report of the same end comes late.
-  End(ledger, 1, {}, 0, kStart);
-  CHECK(ledger.Settle(kStart + Seconds(5)).empty());
+  ReportEnd(ledger, 1, {}, 0, kStart);
+  CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
 }
 
 TEST_CASE(
     "ever new requests under which servers end do not push out one that "
     "comes again") {
   PoisonLedger ledger = MakeLedger();
-  End(ledger, 1, {}, 0, kStart);
-  End(ledger, 2, {}, 0, kStart);
+  ReportEnd(ledger, 1, {}, 0, kStart);
+  ReportEnd(ledger, 2, {}, 0, kStart);
   for (int i = 0; i < 3000; ++i) {
-    End(ledger, 100 + i, {}, 10 + i, kStart + Milliseconds(i));
+    ReportEnd(ledger, 100 + i, {}, 10 + i, kStart + Milliseconds(i));
   }
-  CHECK(ledger.CountEnds() <= PoisonPolicy{}.most_ends);
-  End(ledger, 3, {}, 0, kStart + Seconds(4));
-  const auto marked = ledger.Settle(kStart + Seconds(6));
-  REQUIRE(marked.size() == 1);
-  CHECK(marked[0].digest == Name(0));
+  CHECK(ledger.CountEnds() <= PoisonPolicy{}.max_ends);
+  ReportEnd(ledger, 3, {}, 0, kStart + Seconds(4));
+  const auto blocked = ledger.UpdateBlocks(kStart + Seconds(6));
+  REQUIRE(blocked.size() == 1);
+  CHECK(blocked[0].digest == MakeDigest(0));
 }
 
 TEST_CASE("a mark lapses, and one more end brings it back") {
   const PoisonPolicy policy;
   PoisonLedger ledger = MakeLedger();
-  ledger.Note(Marked{Name(0), 3}, kStart);
-  const TimePoint later = kStart + policy.mark_life + Seconds(1);
-  ledger.Settle(later);
-  CHECK_FALSE(ledger.IsMarked(Name(0)));
-  End(ledger, 9, {}, 0, later);
-  CHECK(ledger.Settle(later + kSettled).size() == 1);
-  CHECK(ledger.IsMarked(Name(0)));
+  ledger.Note(Blocked{MakeDigest(0), 3}, kStart);
+  const TimePoint later = kStart + policy.block_ttl + Seconds(1);
+  ledger.UpdateBlocks(later);
+  CHECK_FALSE(ledger.IsBlocked(MakeDigest(0)));
+  ReportEnd(ledger, 9, {}, 0, later);
+  CHECK(ledger.UpdateBlocks(later + kSettled).size() == 1);
+  CHECK(ledger.IsBlocked(MakeDigest(0)));
 }
 
 TEST_CASE(
@@ -182,48 +189,48 @@
   // is answered, and all are served again.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
-    End(ledger, server, {}, 0, kStart);
+    ReportEnd(ledger, server, {}, 0, kStart);
   }
-  REQUIRE(ledger.Settle(kStart + kSettled).size() == 1);
-  CHECK_FALSE(ledger.MayTry(Name(0), kStart + Seconds(4)));
+  REQUIRE(ledger.UpdateBlocks(kStart + kSettled).size() == 1);
+  CHECK_FALSE(ledger.MayStartTrial(MakeDigest(0), kStart + Seconds(4)));
   TimePoint now = kStart + Seconds(6);
-  REQUIRE(ledger.MayTry(Name(0), now));
-  ledger.BeginTrial(Name(0), now);
-  CHECK_FALSE(ledger.MayTry(Name(0), now + Seconds(30)));
+  REQUIRE(ledger.MayStartTrial(MakeDigest(0), now));
+  ledger.BeginTrial(MakeDigest(0), now);
+  CHECK_FALSE(ledger.MayStartTrial(MakeDigest(0), now + Seconds(30)));
   // Another host hears of both at once.
   PoisonLedger other = MakeLedger();
   for (const TimedPoisonFact& row : ledger.Since(0, now).facts) {
     other.Note(row.fact, now - row.age);
   }
-  CHECK_FALSE(other.MayTry(Name(0), now + Seconds(30)));
+  CHECK_FALSE(other.MayStartTrial(MakeDigest(0), now + Seconds(30)));
   now += Seconds(61);
-  REQUIRE(other.MayTry(Name(0), now));
-  other.BeginTrial(Name(0), now);
-  CHECK_FALSE(other.MayTry(Name(0), now + Seconds(3600)));
-  other.Note(Cleared{Name(0)}, now);
-  CHECK_FALSE(other.IsMarked(Name(0)));
+  REQUIRE(other.MayStartTrial(MakeDigest(0), now));
+  other.BeginTrial(MakeDigest(0), now);
+  CHECK_FALSE(other.MayStartTrial(MakeDigest(0), now + Seconds(3600)));
+  other.Note(Cleared{MakeDigest(0)}, now);
+  CHECK_FALSE(other.IsBlocked(MakeDigest(0)));
 }
 
 TEST_CASE("a host that starts is told all, in parts if need be") {
   PoisonLedger ledger = MakeLedger();
   for (int i = 0; i < 600; ++i) {
-    End(ledger, i, {}, i, kStart);
+    ReportEnd(ledger, i, {}, i, kStart);
   }
-  ledger.Note(Marked{Name(7), 3}, kStart);
+  ledger.Note(Blocked{MakeDigest(7), 3}, kStart);
   PoisonLedger fresh(PoisonPolicy{}, 1);
   uint64_t known = 0;
   for (int part = 0; part < 4; ++part) {
-    const PoisonNews news = ledger.Since(known, kStart + Seconds(1));
-    CHECK(news.facts.size() <= PoisonPolicy{}.most_told);
-    known = news.revision;
-    for (const TimedPoisonFact& row : news.facts) {
+    const PoisonUpdate update = ledger.Since(known, kStart + Seconds(1));
+    CHECK(update.facts.size() <= PoisonPolicy{}.max_records_per_message);
+    known = update.revision;
+    for (const TimedPoisonFact& row : update.facts) {
       fresh.Note(row.fact, kStart + Seconds(1) - row.age);
     }
   }
   CHECK(known == ledger.revision());
   CHECK(ledger.Since(known, kStart).facts.empty());
   CHECK(fresh.CountEnds() == 600);
-  CHECK(fresh.IsMarked(Name(7)));
+  CHECK(fresh.IsBlocked(MakeDigest(7)));
   // Whoever knows a revision of an earlier process is told all.
   CHECK_FALSE(ledger.Since(ledger.revision() + 5, kStart).facts.empty());
 }
@@ -234,35 +241,35 @@
   // is nothing to tell.
   PoisonLedger left = MakeLedger();
   PoisonLedger right(PoisonPolicy{}, 50000);
-  End(left, 1, {5}, 0, kStart);
-  left.Note(Cleared{Name(5)}, kStart + Seconds(1));
-  left.Note(FoundAlive{Server(2)}, kStart + Seconds(1));
-  left.Note(Marked{Name(9), 3}, kStart);
-  left.BeginTrial(Name(9), kStart + Seconds(1));
+  ReportEnd(left, 1, {5}, 0, kStart);
+  left.Note(Cleared{MakeDigest(5)}, kStart + Seconds(1));
+  left.Note(FoundAlive{MakeServerInstance(2)}, kStart + Seconds(1));
+  left.Note(Blocked{MakeDigest(9), 3}, kStart);
+  left.BeginTrial(MakeDigest(9), kStart + Seconds(1));
   TimePoint now = kStart + Seconds(2);
-  const auto tell = [&now](const PoisonLedger& from, PoisonLedger& to) {
-    const PoisonNews news = from.Since(0, now);
+  const auto send = [&now](const PoisonLedger& from, PoisonLedger& to) {
+    const PoisonUpdate update = from.Since(0, now);
     now += Milliseconds(7);
-    for (const TimedPoisonFact& row : news.facts) {
+    for (const TimedPoisonFact& row : update.facts) {
       to.Note(row.fact, now - row.age);
     }
   };
-  tell(left, right);
+  send(left, right);
   const uint64_t left_revision = left.revision();
   const uint64_t right_revision = right.revision();
   for (int round = 0; round < 200; ++round) {
-    tell(left, right);
-    tell(right, left);
+    send(left, right);
+    send(right, left);
   }
   CHECK(left.revision() == left_revision);
   CHECK(right.revision() == right_revision);
   // A mark is told once as new.
   for (int server = 11; server <= 13; ++server) {
-    End(left, server, {}, 0, now);
+    ReportEnd(left, server, {}, 0, now);
   }
   now += Seconds(1);
-  CHECK(left.Settle(now).size() == 1);
-  CHECK(left.Settle(now + Seconds(1)).empty());
+  CHECK(left.UpdateBlocks(now).size() == 1);
+  CHECK(left.UpdateBlocks(now + Seconds(1)).empty());
 }
 
 }  // namespace
--- a/tests/replay_gossip.h
+++ b/tests/replay_gossip.h
@@ -9,13 +9,13 @@
 
 namespace filbertrack {
 
-inline NewsState TellOwnLoads(const std::string& node,
-                              const std::string& data_centre,
-                              const DispatchBoard& board) {
-  NewsState state;
+inline GossipState MakeLoadReport(const std::string& node,
+                                  const std::string& data_centre,
+                                  const TargetSelector& selector) {
+  GossipState state;
   state.node = node;
   state.data_centre = data_centre;
-  for (const auto& [id, load] : board.OwnLoads()) {
+  for (const auto& [id, load] : selector.OwnLoads()) {
     state.loads.push_back({id, load.requests, load.prompt_tokens});
   }
   return state;
--- a/tests/replica_run.h
+++ b/tests/replica_run.h
@@ -22,8 +22,8 @@
 }
 
 /// One controller over a fake fleet.
-struct Run {
-  explicit Run(uint64_t seed) : fleet(seed) {
+struct PlannerRun {
+  explicit PlannerRun(uint64_t seed) : fleet(seed) {
     for (int domain = 0; domain < 3; ++domain) {
       for (int i = 0; i < 10; ++i) {
         fleet.AddHost("d" + std::to_string(domain), false, "");
@@ -35,15 +35,15 @@
   void Pass(double late) {
     fleet.SetTraffic(now - kStart >= Seconds(20));
     fleet.Step(now);
-    fleet.Show(directory, findings, now);
-    const ReplicaInput input{directory, findings,
+    fleet.ReportTo(directory, probe_results, now);
+    const ReplicaInput input{directory, probe_results,
                              service,   now - kStart < Seconds(20),
                              true,      pressure};
     for (const PlannedOrder& planned :
          PlanReplicas(input, policy, memory, now)) {
       const bool answered = fleet.Send(planned, now, late);
       if (answered) {
-        NoteOrderAnswered(planned.order, memory);
+        OnOrderAnswered(planned.order, memory);
       }
       const auto* leave = std::get_if<LeaveGroup>(&planned.order);
       const BackendServer* head =
@@ -72,7 +72,7 @@
   FakeFleet fleet;
   ServiceProfile service = MakeService();
   ServerDirectory directory{DirectoryPolicy{}};
-  HostFindings findings;
+  HostProbeResults probe_results;
   std::map<std::string, double, std::less<>> pressure;
   ReplicaPolicy policy;
   ReplicaMemory memory;
--- a/tests/replicas_faults_test.cc
+++ b/tests/replicas_faults_test.cc
@@ -13,7 +13,7 @@
 /// Random faults for 40 s, also restarts of hosts under their ids where wanted;
 /// the first violation, or nothing.
 std::string RunWithFaults(uint64_t seed, bool restarts = false) {
-  Run run(seed);
+  PlannerRun run(seed);
   // Apart, so that the other faults of a seed are the same with and without.
   std::mt19937_64 restart_random(seed + 1);
   std::mt19937_64 random(seed);
@@ -28,7 +28,7 @@
       host.alive = false;
     }
     if (chance(0.03)) {
-      host.cut = !host.cut;
+      host.partitioned = !host.partitioned;
     }
     if (restarts && restart_random() % 12 == 0) {
       FakeFleet::Restart(host);
--- a/tests/replicas_test.cc
+++ b/tests/replicas_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 TEST_CASE("from nothing, groups of both models serve within the lead time") {
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(20));
   // 3 groups of 4 in two domains with 2 spares each, and 7 of 2 from the rest.
   CHECK(run.fleet.CountServing() == 10);
@@ -23,13 +23,13 @@
   // reported a join only after 8 s. Were a host that took its order free
   // again until then, it would be ordered into a second group, and the first
   // one given up; callers found no group at all.
-  Run run(1);
+  PlannerRun run(1);
   for (int domain = 3; domain < 33; ++domain) {
     for (int i = 0; i < 10; ++i) {
       run.fleet.AddHost("d" + std::to_string(domain), false, "");
     }
   }
-  run.fleet.SetMostShown(4);
+  run.fleet.SetMaxReportsPerPass(4);
   run.PassFor(Seconds(20));
   CHECK(run.fleet.CountServing() >= 100);
   CHECK(run.fleet.violations().empty());
@@ -39,7 +39,7 @@
   // Callers of the small model, which has half of the work, meet full groups.
   // With the spares of the large model on top of its share, the small one had
   // 24 of 60 hosts.
-  Run run(1);
+  PlannerRun run(1);
   for (int domain = 3; domain < 6; ++domain) {
     for (int i = 0; i < 10; ++i) {
       run.fleet.AddHost("d" + std::to_string(domain), false, "");
@@ -48,8 +48,9 @@
   run.PassFor(Seconds(20));
   std::map<std::string, int> groups;
   for (const auto& [id, host] : run.fleet.hosts()) {
-    const auto& place = host.server.membership;
-    if (place && place->rank == 0 && place->state == MembershipState::kOpen) {
+    const auto& membership = host.server.membership;
+    if (membership && membership->rank == 0 &&
+        membership->state == MembershipState::kOpen) {
       ++groups[host.server.model];
     }
   }
@@ -58,12 +59,12 @@
 }
 
 /// Serving groups of one model.
-int CountServing(Run& run, const std::string& model) {
+int CountServing(PlannerRun& run, const std::string& model) {
   int count = 0;
   for (const auto& [id, host] : run.fleet.hosts()) {
-    const auto& place = host.server.membership;
-    count += place && place->rank == 0 && host.alive &&
-             place->state == MembershipState::kOpen &&
+    const auto& membership = host.server.membership;
+    count += membership && membership->rank == 0 && host.alive &&
+             membership->state == MembershipState::kOpen &&
              host.server.model == model;
   }
   return count;
@@ -73,7 +74,7 @@
 /// and its two spares are too few for another. Serving small groups 20 s later.
 int SmallGroupsAfterLoss(
     const std::map<std::string, double, std::less<>>& pressure) {
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   run.pressure = pressure;
   run.PassFor(Seconds(15));
@@ -107,7 +108,7 @@
 TEST_CASE("no host stands idle where no large group could use it") {
   // Callers of the small model meet a full fleet while hosts that are kept as
   // spares serve nobody. Only domains with a large group keep spares.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(20));
   std::map<std::string, int> idle;
   std::map<std::string, bool> has_large;
@@ -126,7 +127,7 @@
   // Callers of one group see their streams break; two to three seconds later
   // as many groups serve as before. The member falls silent; its group's head
   // lives and is closed, and the others join again with a spare.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   REQUIRE(run.fleet.CountServing() == 10);
   for (auto& [id, host] : run.fleet.hosts()) {
@@ -147,7 +148,7 @@
   // Callers wait for a large group that lost a member. Its spare has the
   // weights in memory, not only on its disk, so the new group is ready 0.2 s
   // after the order and not 1.6 s.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
     if (host.server.model == "large" && host.server.membership &&
@@ -164,12 +165,12 @@
   // The head of a large group is cut off from the store; its registration
   // lapses after 3.6 s. It answers orders all the same, so its members serve
   // again seconds before the stall would have ended.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
     if (host.server.model == "large" && host.server.membership &&
         host.server.membership->rank == 0) {
-      host.cut = true;
+      host.partitioned = true;
       break;
     }
   }
@@ -183,7 +184,7 @@
 /// Seconds from the loss of a member of each small group until as many groups
 /// serve as before, where a third of the orders is not answered.
 double SecondsToRepair(bool repeats, uint64_t seed) {
-  Run run(seed);
+  PlannerRun run(seed);
   run.policy.repeats_joins = repeats;
   run.PassFor(Seconds(25));
   const int before = run.fleet.CountServing();
@@ -210,16 +211,16 @@
   // four that are left make two groups. A group that was given up began anew
   // with three orders that all had to arrive, and held its hosts though nobody
   // had ordered it to open: 8.7 s until two served.
-  double once = 0;
-  double again = 0;
+  double without_retries = 0;
+  double with_retries = 0;
   for (uint64_t seed = 1; seed <= 40; ++seed) {
-    once += SecondsToRepair(false, seed) / 40;
-    again += SecondsToRepair(true, seed) / 40;
+    without_retries += SecondsToRepair(false, seed) / 40;
+    with_retries += SecondsToRepair(true, seed) / 40;
   }
-  MESSAGE("to repair, mean of 40: " << once << " s given up, " << again
-                                    << " s given again");
-  CHECK(again < 3.5);
-  CHECK(again < once);
+  MESSAGE("to repair, mean of 40: " << without_retries << " s given up, "
+                                    << with_retries << " s given again");
+  CHECK(with_retries < 3.5);
+  CHECK(with_retries < without_retries);
 }
 
 TEST_CASE("hosts are held for the stall only where no order can arrive late") {
@@ -228,7 +229,7 @@
   // order to close it nor the one to leave is answered. Its order to open was
   // answered long before: nothing can open it again, and what it holds ends
   // with the stall.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   const auto is_head = [](const auto& row) {
     return row.second.server.model == "small" && row.second.server.membership &&
@@ -237,12 +238,12 @@
   auto& hosts = run.fleet.hosts();
   auto& head = std::find_if(hosts.begin(), hosts.end(), is_head)->second;
   const auto& member = hosts.at(head.group_members.back());
-  head.cut = true;
+  head.partitioned = true;
   run.PassFor(Milliseconds(3700));
   head.alive = false;
   run.PassFor(Seconds(10));
-  const ReplicaInput input{run.directory, run.findings, run.service,
-                           false,         true,         {}};
+  const ReplicaInput input{
+      run.directory, run.probe_results, run.service, false, true, {}};
   REQUIRE_FALSE(member.server.membership.has_value());
   CHECK(
       CountReplicas(input, ReplicaPolicy{}, run.memory, run.now).quarantined ==
@@ -253,14 +254,14 @@
 TEST_CASE("hosts of a silent head wait until it can hold no request") {
   // The head may live behind a partition. Its members leave, so that it stands
   // still, and join other groups only after the stall.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   std::string member;
   for (auto& [id, host] : run.fleet.hosts()) {
     if (host.server.model == "small" && host.server.membership &&
         host.server.membership->rank == 0) {
       member = host.group_members.back();
-      host.cut = true;
+      host.partitioned = true;
       break;
     }
   }
@@ -271,7 +272,7 @@
 
 TEST_CASE(
     "a leaving member's group ends its requests before it is taken apart") {
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
     if (host.server.model == "small" && host.server.membership &&
@@ -280,9 +281,9 @@
       break;
     }
   }
-  run.fleet.Show(run.directory, run.findings, run.now);
-  const ReplicaInput input{run.directory, run.findings, run.service,
-                           false,         true,         {}};
+  run.fleet.ReportTo(run.directory, run.probe_results, run.now);
+  const ReplicaInput input{
+      run.directory, run.probe_results, run.service, false, true, {}};
   const auto orders = PlanReplicas(input, ReplicaPolicy{}, run.memory, run.now);
   const auto close = std::find_if(
       orders.begin(), orders.end(), [](const PlannedOrder& planned) {
@@ -293,7 +294,7 @@
 }
 
 TEST_CASE("a controller that takes over keeps the groups that serve") {
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   const int before = run.fleet.CountServing();
   run.TakeOver();
@@ -304,7 +305,7 @@
 TEST_CASE("loads after traffic began keep to the allowed rate and number") {
   // Thirty empty hosts come at once. More loads than allowed would make every
   // one of them slower, and break the weight store's limit.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (int i = 0; i < 30; ++i) {
     run.fleet.AddHost("d0", false, "");
@@ -323,7 +324,7 @@
   // Callers wait at a head that stands still. The member's entry is back within
   // a second and says nothing of the group; the group is taken apart and formed
   // again, and no host is left over.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   const int before = run.fleet.CountServing();
   for (auto& [id, host] : run.fleet.hosts()) {
@@ -342,18 +343,18 @@
 TEST_CASE("a host that answers as a later process is no member any more") {
   // Its registration still shows the group, because the store is away; its own
   // answer to a question names a later start.
-  Run run(1);
+  PlannerRun run(1);
   run.PassFor(Seconds(25));
   std::string head;
   for (auto& [id, host] : run.fleet.hosts()) {
     if (host.server.membership && host.server.membership->rank == 1) {
       head = host.last_head;
-      run.findings[id].born_ms = host.server.born_ms + 1;
+      run.probe_results[id].process_start_ms = host.server.process_start_ms + 1;
       break;
     }
   }
-  const ReplicaInput input{run.directory, run.findings, run.service,
-                           false,         true,         {}};
+  const ReplicaInput input{
+      run.directory, run.probe_results, run.service, false, true, {}};
   const auto orders = PlanReplicas(input, ReplicaPolicy{}, run.memory, run.now);
   CHECK(std::any_of(orders.begin(), orders.end(), [&](const auto& planned) {
     const auto* close = std::get_if<CloseGroup>(&planned.order);
@@ -378,7 +379,7 @@
 TEST_CASE("hosts of an evacuated data centre get no orders") {
   // Guards against groups that are formed, repaired or loaded where nothing may
   // be sent, and hosts there that count as if they served.
-  Run run(1);
+  PlannerRun run(1);
   for (auto& [id, host] : run.fleet.hosts()) {
     host.server.data_centre = host.server.domain;
   }
@@ -395,10 +396,11 @@
            row.second.server.membership;
   });
   lost->second.alive = false;
-  run.fleet.Show(run.directory, run.findings, run.now);
+  run.fleet.ReportTo(run.directory, run.probe_results, run.now);
   for (int i = 0; i < 50; ++i) {
-    const ReplicaInput input{run.directory, run.findings, run.service, false,
-                             true,          {},           &evacuations};
+    const ReplicaInput input{
+        run.directory, run.probe_results, run.service, false, true, {},
+        &evacuations};
     for (const PlannedOrder& planned :
          PlanReplicas(input, run.policy, run.memory, run.now)) {
       if (const auto* join = std::get_if<JoinGroup>(&planned.order)) {
@@ -411,7 +413,7 @@
     }
     run.now += kStep;
     run.fleet.Step(run.now);
-    run.fleet.Show(run.directory, run.findings, run.now);
+    run.fleet.ReportTo(run.directory, run.probe_results, run.now);
   }
   CHECK(run.fleet.violations().empty());
 }
--- a/tests/request_test.cc
+++ b/tests/request_test.cc
@@ -88,7 +88,7 @@
   const auto* seek = FindAction<SeekTarget>(Feed(state, TargetLost{}));
   REQUIRE(seek != nullptr);
   const auto actions = Feed(state, NoTarget{ResultCode::kNoServingGroup});
-  CHECK(FindAction<BreakStream>(actions) != nullptr);
+  CHECK(FindAction<AbortStream>(actions) != nullptr);
   CHECK(FindAction<FinishStream>(actions) == nullptr);
 }
 
@@ -141,7 +141,7 @@
     case 7:
       return TargetLost{};
     default:
-      return *rc::gen::inRange(0, 10) == 0 ? RequestEvent(CallerLeft{})
+      return *rc::gen::inRange(0, 10) == 0 ? RequestEvent(CallerDisconnected{})
                                            : RequestEvent(TargetLost{});
   }
 }
@@ -152,7 +152,7 @@
         MakeRequest(*rc::gen::arbitrary<bool>(), AnswerShape::kTokenStream);
     StartRequest(state, kStart);
     uint64_t next = 0;
-    int ends = 0;
+    int final_actions = 0;
     bool open = false;
     const int steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
@@ -164,16 +164,16 @@
       for (const RequestAction& action : Feed(state, event)) {
         if (const auto* token = std::get_if<ForwardToken>(&action)) {
           RC_ASSERT(token->event.id == next);
-          RC_ASSERT(ends == 0);
+          RC_ASSERT(final_actions == 0);
           ++next;
         }
-        ends += std::holds_alternative<FinishStream>(action) ||
-                std::holds_alternative<Refuse>(action) ||
-                std::holds_alternative<BreakStream>(action);
+        final_actions += std::holds_alternative<FinishStream>(action) ||
+                         std::holds_alternative<Refuse>(action) ||
+                         std::holds_alternative<AbortStream>(action);
       }
       open = state.attempt_open;
     }
-    RC_ASSERT(ends <= 1);
+    RC_ASSERT(final_actions <= 1);
   }));
 }
 
@@ -217,10 +217,10 @@
     for (size_t i = 0; i < texts.size(); ++i) {
       bytes += FormatSseEvent({i, texts[i], false});
     }
-    SseSplitter whole;
+    SseParser whole;
     const std::vector<SseEvent> expected = whole.Push(bytes);
     RC_ASSERT(expected.size() == texts.size());
-    SseSplitter split;
+    SseParser split;
     std::vector<SseEvent> got;
     while (!bytes.empty()) {
       const auto size = *rc::gen::inRange<size_t>(1, bytes.size() + 1);
@@ -316,22 +316,22 @@
   // Guards against 2,000 callers that read a byte a second and end the process
   // of a small host.
   HeldAnswersPolicy policy;
-  policy.most_bytes = 5'000'000;
-  const auto few = JudgeHeldAnswers(MakeHeld(100, Seconds(9)), 0, policy);
+  policy.max_bytes = 5'000'000;
+  const auto few = EvaluateHeldAnswers(MakeHeld(100, Seconds(9)), 0, policy);
   CHECK_FALSE(few.pauses);
   CHECK(few.drops.empty());
-  const auto half = JudgeHeldAnswers(MakeHeld(300, Seconds(9)), 0, policy);
+  const auto half = EvaluateHeldAnswers(MakeHeld(300, Seconds(9)), 0, policy);
   CHECK(half.pauses);
   CHECK(half.drops.empty());
-  const auto many = JudgeHeldAnswers(MakeHeld(2000, Seconds(9)), 0, policy);
+  const auto many = EvaluateHeldAnswers(MakeHeld(2000, Seconds(9)), 0, policy);
   CHECK_FALSE(many.is_full);
   CHECK(many.drops.size() > 1400);
   CHECK(many.drops.front() == 2000);
-  const auto read = JudgeHeldAnswers(MakeHeld(2000, Duration(0)), 0, policy);
+  const auto read = EvaluateHeldAnswers(MakeHeld(2000, Duration(0)), 0, policy);
   CHECK(read.drops.empty());
   CHECK(read.is_full);
   // Bodies of requests count as well, and nothing can be dropped for them.
-  CHECK(JudgeHeldAnswers({}, 6'000'000, policy).is_full);
+  CHECK(EvaluateHeldAnswers({}, 6'000'000, policy).is_full);
 }
 
 }  // namespace
--- a/tests/routing_test.cc
+++ b/tests/routing_test.cc
@@ -30,8 +30,9 @@
 }
 
 /// How often each candidate is chosen in a thousand tries.
-std::map<std::string, int> Count(const std::vector<RouteCandidate>& candidates,
-                                 const RouteQuery& query) {
+std::map<std::string, int> CountChoices(
+    const std::vector<RouteCandidate>& candidates,
+    const RouteQuery& query) {
   std::mt19937_64 random(1);
   RoutePolicy policy = PredictedFirstToken{};
   std::map<std::string, int> counts;
@@ -91,7 +92,7 @@
     candidates.push_back(Group("g" + std::to_string(i)));
     candidates.back().load.running = i == 0 ? 0 : 4;
   }
-  CHECK(Count(candidates, Query())["g0"] < 400);
+  CHECK(CountChoices(candidates, Query())["g0"] < 400);
 }
 
 TEST_CASE("a straggler loses its work before it counts as dead") {
@@ -105,7 +106,7 @@
                       Milliseconds(i == 0 ? 1000 : 100));
     }
   }
-  CHECK(Count(candidates, Query())["g0"] < 20);
+  CHECK(CountChoices(candidates, Query())["g0"] < 20);
 }
 
 TEST_CASE("load that all groups share makes no stragglers") {
@@ -119,7 +120,7 @@
   }
   RouteQuery query = Query();
   query.deadline = kNow + Milliseconds(500);
-  CHECK(Count(candidates, query).size() == 4);
+  CHECK(CountChoices(candidates, query).size() == 4);
 }
 
 TEST_CASE("requests of one prefix go where it is cached") {
@@ -130,7 +131,7 @@
   candidates[3].load.cached_prefixes.insert("p");
   RouteQuery query = Query();
   query.prefix = "p";
-  CHECK(Count(candidates, query)["g3"] == 1000);
+  CHECK(CountChoices(candidates, query)["g3"] == 1000);
 }
 
 TEST_CASE("a group that returned gets its share step by step") {
@@ -138,9 +139,9 @@
   RouteCandidate candidate = Group("g");
   candidate.history.serving_since = kNow;
   candidate.history.in_flight = 1;
-  CHECK(Count({candidate}, Query()).empty());
+  CHECK(CountChoices({candidate}, Query()).empty());
   candidate.history.serving_since = kNow - Seconds(5);
-  CHECK(Count({candidate}, Query())["g"] == 1000);
+  CHECK(CountChoices({candidate}, Query())["g"] == 1000);
 }
 
 TEST_CASE("a plain server's past requests do not count as load for ever") {
@@ -149,7 +150,7 @@
   RouteCandidate candidate = Group("s");
   candidate.target.needs_evidence = false;
   candidate.history.change_since_report = 100000;
-  CHECK(Count({candidate}, Query())["s"] == 1000);
+  CHECK(CountChoices({candidate}, Query())["s"] == 1000);
 }
 
 TEST_CASE("a request that no group could begin in time is refused at once") {
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -111,9 +111,9 @@
 
 TEST_CASE("a server that was leaving is gone at once, also after an outage") {
   ServerDirectory directory{DirectoryPolicy{}};
-  BackendServer leaving = MakeFree("a");
-  leaving.draining = true;
-  directory.Put(leaving, kStart);
+  BackendServer draining_server = MakeFree("a");
+  draining_server.draining = true;
+  directory.Put(draining_server, kStart);
   directory.OnStoreReturned(kStart);
   CHECK(directory.Remove("a", kStart + Milliseconds(1)));
 }
@@ -155,12 +155,12 @@
     "at a first reading hosts without a group may have left one just now") {
   ServerDirectory empty{DirectoryPolicy{}};
   empty.Put(MakeFree("a"), kStart);
-  empty.OnFirstReading(kStart);
+  empty.OnInitialListing(kStart);
   CHECK_FALSE(empty.IsHeld("a", kStall, kStart));
   ServerDirectory running{DirectoryPolicy{}};
   running.Put(MakeFree("a"), kStart);
   running.Put(MakeMember("head", "g", 0, MembershipState::kOpen), kStart);
-  running.OnFirstReading(kStart);
+  running.OnInitialListing(kStart);
   CHECK(running.IsHeld("a", kStall, kStart));
 }
 
@@ -172,9 +172,10 @@
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
   directory.Put(MakeMember("b", "g", 1, MembershipState::kReady), kStart);
   CHECK(IsServing(directory.Replicas("llm").front(), 2));
-  BackendServer leaving = MakeMember("b", "g", 1, MembershipState::kReady);
-  leaving.draining = true;
-  directory.Put(leaving, kStart);
+  BackendServer draining_server =
+      MakeMember("b", "g", 1, MembershipState::kReady);
+  draining_server.draining = true;
+  directory.Put(draining_server, kStart);
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
 }
 
@@ -190,10 +191,10 @@
       const LoggedObject object{std::to_string(changes[i].first), ++version,
                                 changes[i].second ? "text" : ""};
       first.Put(object);
-      first.Reach(version);
+      first.AdvanceTo(version);
       if (i < split) {
         second.Put(object);
-        second.Reach(version);
+        second.AdvanceTo(version);
       }
     }
     const auto missed = first.Since(second.revision());
@@ -225,14 +226,14 @@
   // had told them just before; the first host to return has heard no more.
   const TimePoint lost{Seconds(100)};
   const auto returns = [lost](std::optional<Duration> told, Duration after) {
-    StoreAbsence absence;
+    StoreOutageDetector absence;
     absence.OnLost(lost);
-    CHECK(absence.is_away());
+    CHECK(absence.is_unreachable());
     if (told) {
-      absence.OnPeersKnewMore(lost + *told);
+      absence.OnPeersAhead(lost + *told);
     }
     const bool for_all = absence.OnReturned(lost + after);
-    CHECK_FALSE(absence.is_away());
+    CHECK_FALSE(absence.is_unreachable());
     return for_all;
   };
   CHECK(returns(std::nullopt, Seconds(5)));
@@ -242,10 +243,12 @@
   CHECK_FALSE(returns(Milliseconds(150), Milliseconds(300)));
 }
 
-BackendServer MakeMember(const std::string& id, int rank, uint64_t born_ms) {
+BackendServer MakeMember(const std::string& id,
+                         int rank,
+                         uint64_t process_start_ms) {
   BackendServer server;
   server.id = id;
-  server.born_ms = born_ms;
+  server.process_start_ms = process_start_ms;
   server.service = "llm";
   server.membership =
       Membership{"m/1", 1, rank,
@@ -261,17 +264,17 @@
   directory.Put(MakeMember("a", 0, 100), kStart);
   directory.Put(MakeMember("b", 1, 100), kStart);
   REQUIRE(IsServing(directory.Replicas("llm").front(), 2));
-  BackendServer again = MakeMember("b", 1, 200);
+  BackendServer restarted = MakeMember("b", 1, 200);
   SUBCASE("in no group") {
-    again.membership.reset();
+    restarted.membership.reset();
   }
   SUBCASE("brought back by a late order") {}
-  CHECK(directory.Put(again, kStart + Seconds(1)));
+  CHECK(directory.Put(restarted, kStart + Seconds(1)));
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
   CHECK_FALSE(directory.IsHeld("b", kStall, kStart + Seconds(1)));
   // What the earlier process wrote arrives late and changes nothing.
   CHECK_FALSE(directory.Put(MakeMember("b", 1, 100), kStart + Seconds(2)));
-  CHECK(directory.Find("b")->born_ms == 200);
+  CHECK(directory.Find("b")->process_start_ms == 200);
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
 }
 
@@ -318,15 +321,15 @@
   CHECK(known.News().revision == 0);
   CHECK_FALSE(known.OnList({}, 10));
   CHECK(known.News().revision == 0);
-  CHECK(known.OnNews({15, {"a"}}));
+  CHECK(known.OnPeerUpdate({15, {"a"}}));
   CHECK_FALSE(known.OnList({}, 12));
   CHECK(known.Contains("a"));
-  CHECK_FALSE(known.OnNews({15, {"a"}}));
+  CHECK_FALSE(known.OnPeerUpdate({15, {"a"}}));
   CHECK(known.OnList({"a", "b"}, 20));
-  CHECK_FALSE(known.OnNews({18, {}}));
+  CHECK_FALSE(known.OnPeerUpdate({18, {}}));
   CHECK(known.Contains("b"));
   CHECK(known.OnList({}, 30));
-  CHECK(known.News() == EvacuationNews{30, {}});
+  CHECK(known.News() == EvacuationUpdate{30, {}});
 }
 
 TEST_CASE("a peer that missed the end of an evacuation is told of it") {
@@ -336,8 +339,8 @@
   fresh.OnList({}, 30);
   SiteEvacuations behind;
   behind.OnList({"a"}, 20);
-  CHECK_FALSE(fresh.OnNews(behind.News()));
-  CHECK(behind.OnNews(fresh.News()));
+  CHECK_FALSE(fresh.OnPeerUpdate(behind.News()));
+  CHECK(behind.OnPeerUpdate(fresh.News()));
   CHECK_FALSE(behind.Contains("a"));
 }
 
