--- a/include/filbertrack/routing_choice.h
+++ b/include/filbertrack/routing_choice.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// Chooses the group that takes a request: the one with the smallest predicted
-/// time to first token among a few candidates. Reports of load lag, and every
-/// entry host sees the same ones; a choice among few random candidates, counted
-/// with this host's own work in flight, keeps all of them from sending to the
-/// same idle group at once.
+/// Chooses the group that serves a request: the one with the shortest predicted
+/// time to first token among a few candidates. Load reports are delayed and the
+/// same for all entry hosts. A choice among few random candidates that counts
+/// this host's own requests in flight keeps the hosts from sending to the same
+/// idle group at once.
 
 #include <cstdint>
 #include <map>
@@ -22,8 +22,8 @@
 
 namespace filbertrack {
 
-/// One place that can answer: a group by its first member, or a plain backend
-/// server.
+/// A target of requests: a group, addressed by its first member, or a plain
+/// backend server.
 struct RouteTarget {
   std::string id;
   uint64_t epoch = 0;
@@ -31,40 +31,45 @@
   std::string data_centre;
   std::set<std::string, std::less<>> adapters;
   Address address;
-  /// All members were alive and in the group's epoch at this time; nullopt:
-  /// never, or one is known to be missing. Plain servers have no evidence.
+  /// Latest time at which the group was whole, that is, all members were known
+  /// to be alive and in the group's epoch; nullopt: never, or a member is known
+  /// to be missing. Not used for plain servers.
   std::optional<TimePoint> whole_at;
-  /// A member was known to be missing at this time.
+  /// Latest time at which a member was known to be missing.
   TimePoint lost_at;
+  /// False for plain servers, which have no members and always count as whole.
   bool needs_evidence = true;
   bool leaving = false;
 };
 
-/// What a target last reported, and when this host read it.
+/// The latest load report of a target, and when this host received it.
 struct LoadReport {
   int running = 0;
   int queued = 0;
   int slots = 1;
+  /// Time of a prefill without a cached prefix.
   Duration prefill{0};
   TimePoint read_at;
   std::set<std::string, std::less<>> cached_prefixes;
 };
 
-/// This host's own experience with a target.
+/// What this host measured at a target, and its own requests there.
 struct TargetHistory {
   int in_flight = 0;
-  /// Requests sent less requests ended since the report in use was read.
+  /// Requests sent minus requests ended since the current report was received.
   int change_since_report = 0;
-  /// Measured over predicted time to first token, smoothed; 1 is as predicted.
+  /// Measured divided by predicted time to first token, smoothed; 1: as
+  /// predicted or faster.
   double slowness = 1;
-  /// Smoothed time that a request occupies the target.
+  /// Time that a request occupies the target, smoothed; 0: not measured.
   Duration service_time{0};
-  /// Start of slow start; the target's share grows from here.
+  /// Beginning of slow start, from which the usable capacity of the target
+  /// grows.
   TimePoint serving_since;
-  /// Prefixes that this host sent there, and when; a report that was read
-  /// later than that tells whether they are still cached.
+  /// Prefixes that this host sent to the target, and when. Kept for
+  /// cache_report_lag, after which the target's reports show what is cached.
   std::map<std::string, TimePoint, std::less<>> sent_prefixes;
-  /// Failures in a row without a success between them.
+  /// Consecutive failures.
   int failures = 0;
   TimePoint last_failure;
 };
@@ -75,76 +80,81 @@
   TargetHistory history;
 };
 
-/// What of a request matters for the choice.
+/// The properties of a request that determine the choice.
 struct RouteQuery {
   std::string service;
   std::string adapter;
-  std::string prefix;  ///< Hash of the prompt's beginning; may be empty.
+  std::string prefix;  ///< Hash of the beginning of the prompt; may be empty.
   std::string data_centre;
   TimePoint deadline;
   /// Targets already tried for this request.
   std::set<std::string, std::less<>> excluded;
 };
 
-/// One target after the other: the baseline for measurements.
+/// Uses the targets in turn; the baseline for measurements.
 struct RoundRobin {
   size_t next = 0;
 };
 
-/// Smallest predicted time to first token.
+/// Chooses the shortest predicted time to first token.
 struct PredictedFirstToken {
-  /// Random candidates beside the one that the prefix hashes to.
+  /// Random candidates in addition to the target that the prefix hashes to and
+  /// those that have it cached.
   int random_candidates = 2;
+  /// Added to the prediction for a target in another data centre.
   Duration other_data_centre_cost = Milliseconds(3);
-  /// Cache events come late by up to this; until then a prefix counts as cached
-  /// where it was sent.
+  /// Upper bound of the delay of cache reports. A prefix counts as cached for
+  /// this long after it was sent to a target.
   Duration cache_report_lag = Seconds(1);
-  /// Prefill with a cached prefix takes this part of a whole one.
+  /// Time of a prefill with a cached prefix, as a fraction of a full prefill.
   double cached_prefill_share = 0.15;
+  /// Time until a target that begins to serve may use its full capacity.
   Duration slow_start = Seconds(10);
-  /// A target that failed is left out for this long, doubled with each failure.
+  /// How long a target is skipped after a failure; doubles with each
+  /// consecutive failure, up to max_failure_pause.
   Duration failure_pause = Milliseconds(250);
   Duration max_failure_pause = Seconds(10);
-  /// In flight above the target's slots, as a part of them.
+  /// Maximum number of requests queued at a target, as a fraction of its slots.
   double queue_share = 1.0;
 };
 
 using RoutePolicy = std::variant<RoundRobin, PredictedFirstToken>;
 
 struct RouteLimits {
-  /// A group is used, and its answers are forwarded, only while the evidence
-  /// that it is whole is at most this old.
+  /// Maximum age of the evidence that a group is whole. With older evidence the
+  /// group gets no requests and its answers are not forwarded.
   Duration evidence_bound = Seconds(1);
 };
 
 enum class RouteRefusal {
-  /// No whole group of the service is known.
+  /// No group of the service is known to be whole, or all were tried.
   kNoneServing,
-  /// Groups serve, and none could answer before the deadline.
+  /// Groups serve the service, but none could answer before the deadline.
   kAllBusy,
 };
 
 struct RouteChoice {
   size_t index = 0;
   Duration predicted{0};
-  /// The prediction without the target's slowness, for learning that.
+  /// The prediction without the slowness factor, as input of LearnFirstToken().
   Duration unscaled{0};
 };
 
 struct RouteDenial {
   RouteRefusal reason;
-  /// When a caller should come back.
+  /// Retry-after time for the caller.
   Duration retry_after{0};
 };
 
 using RouteDecision = std::variant<RouteChoice, RouteDenial>;
 
-/// Whether an answer of `target` may be forwarded now.
+/// Whether `target` may get requests and its answers be forwarded now: it is a
+/// plain server, or the evidence that it is whole is recent enough.
 bool IsWhole(const RouteTarget& target,
              const RouteLimits& limits,
              TimePoint now);
 
-/// Predicted time to first token of a target that is as quick as it reports.
+/// Predicted time to first token, not corrected by the target's slowness.
 Duration PredictFirstToken(const RouteCandidate& candidate,
                            const RouteQuery& query,
                            const PredictedFirstToken& policy,
@@ -157,13 +167,13 @@
                           TimePoint now,
                           std::mt19937_64& random);
 
-/// Learns from a first token that took `measured` where the unscaled prediction
-/// was `predicted`.
+/// Updates the slowness by a first token that took `measured`; `predicted` is
+/// the unscaled prediction. Also ends a series of failures.
 void LearnFirstToken(TargetHistory& history,
                      Duration predicted,
                      Duration measured);
 void LearnServiceTime(TargetHistory& history, Duration measured);
-/// Remembers a prefix that was sent; forgets old ones.
+/// Records a prefix that was sent to the target and drops expired ones.
 void LearnSentPrefix(TargetHistory& history,
                      const std::string& prefix,
                      const PredictedFirstToken& policy,
--- a/source/routing_choice.cc
+++ b/source/routing_choice.cc
@@ -10,23 +10,23 @@
 namespace {
 
 constexpr double kSmoothing = 0.2;
-/// A target's slowness falls back towards 1 only through requests; it never
-/// rises past this, so that some requests still reach it and can show that it
-/// has recovered.
+/// Upper bound of a target's slowness. Only requests lower the slowness towards
+/// 1 again, so some must still reach the target and show when it has recovered.
 constexpr double kMaxSlowness = 20;
 constexpr Duration kMinServiceTime = Milliseconds(10);
+/// Usable fraction of the capacity at the beginning of slow start.
 constexpr double kInitialShare = 0.1;
 
 double Smooth(double before, double measured) {
   return before + kSmoothing * (measured - before);
 }
 
-/// Work at the target as far as this host can tell: what it reported, and how
-/// this host's own part of it changed since.
+/// Requests at the target: the reported number plus the change of this host's
+/// own requests since that report, and at least this host's requests in flight.
 int EstimatedLoad(const RouteCandidate& candidate) {
   if (!candidate.target.needs_evidence) {
-    // Plain servers report nothing, so nothing would ever take back what is
-    // counted between reports.
+    // Plain servers send no reports, so change_since_report is never reset and
+    // the server could appear full for ever.
     return candidate.history.in_flight;
   }
   const int reported = candidate.load.running + candidate.load.queued;
@@ -34,8 +34,8 @@
                   candidate.history.in_flight);
 }
 
-/// The part of its capacity that a target may use: it grows after a return, so
-/// that a cold target does not take the whole backlog at once.
+/// Usable fraction of a target's capacity. It grows during slow start, so that
+/// a cold target does not receive the whole backlog at once.
 double SlowStartShare(const RouteCandidate& candidate,
                       const PredictedFirstToken& policy,
                       TimePoint now) {
@@ -95,8 +95,9 @@
   return serving;
 }
 
-/// The target that the prompt's prefix hashes to: all entry hosts agree on it
-/// without speaking, so that its cache sees all requests of the prefix.
+/// The target with the highest rendezvous weight for the prefix. All entry
+/// hosts compute the same one without communication, so its cache serves all
+/// requests with the prefix.
 size_t AffinityTarget(std::span<const RouteCandidate> candidates,
                       const std::vector<size_t>& serving,
                       std::string_view prefix) {
@@ -130,8 +131,9 @@
   return drawn;
 }
 
-/// The smallest slowness among targets. What slows all of them is load, which
-/// the prediction counts already; only what sets one apart makes a straggler.
+/// The lowest slowness among the targets. Slowness common to all of them is
+/// caused by load, which the prediction includes already; only the excess over
+/// the others identifies a straggler.
 double LowestSlowness(std::span<const RouteCandidate> candidates,
                       const std::vector<size_t>& open) {
   double lowest = kMaxSlowness;
@@ -221,7 +223,7 @@
   const double service_time =
       ToSeconds(std::max(candidate.history.service_time, kMinServiceTime));
   const double waiting = std::max(0, work + 1 - slots) * service_time / slots;
-  // Prefills of one target share its processors.
+  // Concurrent prefills at a target share its processors.
   const double sharing = 1 + static_cast<double>(work) / slots;
   const Duration distance = candidate.target.data_centre == query.data_centre
                                 ? Duration(0)
--- a/tests/routing_test.cc
+++ b/tests/routing_test.cc
@@ -29,7 +29,7 @@
   return query;
 }
 
-/// How often each candidate is chosen in a thousand tries.
+/// How often each candidate is chosen in 1,000 calls.
 std::map<std::string, int> CountChoices(
     const std::vector<RouteCandidate>& candidates,
     const RouteQuery& query) {
@@ -46,7 +46,7 @@
   return counts;
 }
 
-TEST_CASE("property: only a whole, fitting, untried group is ever chosen") {
+TEST_CASE("property: only a whole, eligible, untried group is chosen") {
   REQUIRE(rc::check("fit", [] {
     std::vector<RouteCandidate> candidates;
     const int size = *rc::gen::inRange(0, 6);
@@ -85,8 +85,9 @@
 }
 
 TEST_CASE("hosts that see the same idle group do not all send to it") {
-  // Callers would wait in one queue. One of eight groups is idle and seven are
-  // equally loaded; every host has the same report.
+  // One of eight groups is idle and seven are equally loaded; every host has
+  // the same report. If all hosts chose the idle group, their requests would
+  // queue there.
   std::vector<RouteCandidate> candidates;
   for (int i = 0; i < 8; ++i) {
     candidates.push_back(Group("g" + std::to_string(i)));
@@ -95,9 +96,10 @@
   CHECK(CountChoices(candidates, Query())["g0"] < 400);
 }
 
-TEST_CASE("a straggler loses its work before it counts as dead") {
-  // Callers see no slow first tokens. One group takes ten times as long as it
-  // reports; its members still write their lines.
+TEST_CASE("a straggler gets few requests before it counts as failed") {
+  // One group takes ten times as long as it reports, while its members are
+  // still alive. Callers must not be sent there and wait for a slow first
+  // token.
   std::vector<RouteCandidate> candidates;
   for (int i = 0; i < 4; ++i) {
     candidates.push_back(Group("g" + std::to_string(i)));
@@ -109,7 +111,7 @@
   CHECK(CountChoices(candidates, Query())["g0"] < 20);
 }
 
-TEST_CASE("load that all groups share makes no stragglers") {
+TEST_CASE("slowness common to all groups makes none a straggler") {
   std::vector<RouteCandidate> candidates;
   for (int i = 0; i < 4; ++i) {
     candidates.push_back(Group("g" + std::to_string(i)));
@@ -123,7 +125,7 @@
   CHECK(CountChoices(candidates, query).size() == 4);
 }
 
-TEST_CASE("requests of one prefix go where it is cached") {
+TEST_CASE("requests with a cached prefix go to the group that caches it") {
   std::vector<RouteCandidate> candidates;
   for (int i = 0; i < 8; ++i) {
     candidates.push_back(Group("g" + std::to_string(i)));
@@ -134,8 +136,9 @@
   CHECK(CountChoices(candidates, query)["g3"] == 1000);
 }
 
-TEST_CASE("a group that returned gets its share step by step") {
-  // Callers would wait for a cold group that takes the whole backlog.
+TEST_CASE("a group that returned gets its share gradually") {
+  // Without slow start a cold group would receive the whole backlog, and its
+  // callers would wait.
   RouteCandidate candidate = Group("g");
   candidate.history.serving_since = kNow;
   candidate.history.in_flight = 1;
@@ -145,15 +148,15 @@
 }
 
 TEST_CASE("a plain server's past requests do not count as load for ever") {
-  // All callers would be refused after so many requests: a plain server never
-  // reports, so what is counted between reports was never taken back.
+  // Plain servers send no reports, so change_since_report is never reset. When
+  // it counted as load, all requests were refused after a number of them.
   RouteCandidate candidate = Group("s");
   candidate.target.needs_evidence = false;
   candidate.history.change_since_report = 100000;
   CHECK(CountChoices({candidate}, Query())["s"] == 1000);
 }
 
-TEST_CASE("a request that no group could begin in time is refused at once") {
+TEST_CASE("a request that no group could start in time is refused at once") {
   RouteCandidate candidate = Group("g");
   candidate.load.prefill = Seconds(20);
   std::mt19937_64 random(1);
