--- a/include/filbertrack/admission_limits.h
+++ b/include/filbertrack/admission_limits.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// How many requests a second each workspace may send to each service through
-/// this entry host: a token bucket an entitlement, filled at the host's present
-/// part of it.
+/// Limits the requests per second that each workspace may send to each service
+/// through this entry host, with one token bucket per entitlement. A bucket is
+/// filled at this host's current share of the entitlement.
 
 #include <map>
 #include <variant>
@@ -15,6 +15,8 @@
 namespace filbertrack {
 
 struct Admitted {};
+/// The request exceeds this host's share of the entitlement, or no entitlement
+/// is declared.
 struct OverEntitlement {
   Duration retry_after{0};
 };
@@ -22,18 +24,20 @@
 
 class AdmissionLimits {
  public:
-  /// Takes over the declared entitlements; what is no longer declared is no
-  /// longer admitted.
+  /// Replaces the declared entitlements. Buckets of entitlements that remain
+  /// keep their tokens and rate; new ones admit nothing until SetRate().
   void Declare(const Resources& resources, TimePoint now);
 
-  /// Sets what this host may use of one entitlement from now on.
+  /// Sets the rate that this host may use of one entitlement. Does nothing if
+  /// the entitlement is not declared.
   void SetRate(const EntitlementKey& key,
                double requests_per_second,
                TimePoint now);
 
   AdmissionDecision TryAdmit(const EntitlementKey& key, TimePoint now);
 
-  /// Requests per second over all hosts; the weight in fair queueing.
+  /// Requests per second over all hosts, used as the weight in fair queueing; 0
+  /// if not declared.
   double Entitled(const EntitlementKey& key) const;
 
   /// All declared entitlements, in requests per second over all hosts.
--- a/include/filbertrack/admission_parts.h
+++ b/include/filbertrack/admission_parts.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// Parts of entitlements lent between entry hosts by demand. A lender stops
-/// using what it lends before it answers; a loan runs out at the borrower no
-/// later than at the lender, because the borrower counts from its question and
-/// the lender from its answer. So the sum in use never passes the whole, also
-/// when answers are lost or late, and an unused part comes back by age.
+/// Lends parts of entitlements between entry hosts on demand. A lender reduces
+/// its own rate before it replies. A loan expires at the borrower no later than
+/// at the lender, because the borrower counts from when it sent the request and
+/// the lender from when it replied. The sum of the rates in use therefore never
+/// exceeds the entitlement, even if replies are lost or delayed, and a loan
+/// returns to its lender by expiry, without a message.
 
 #include <cstdint>
 #include <map>
@@ -17,31 +18,33 @@
 
 namespace filbertrack {
 
-/// An entitlement: workspace and service.
+/// Workspace and service of an entitlement.
 using EntitlementKey = std::pair<std::string, std::string>;
 
 struct LoanPolicy {
   Duration loan_ttl = Seconds(2);
-  /// Demand is averaged over about this long.
+  /// Time constant of the exponential average of demand.
   Duration demand_window = Seconds(1);
-  /// A lender keeps this part of what it does not use.
+  /// Fraction of its unused rate that a lender does not lend.
   double kept_share = 0.25;
-  /// Wishes below this are not worth a message, in requests per second.
+  /// Smaller loans are not requested, in requests per second.
   double min_loan_rate = 0.05;
 };
 
+/// The rates that one entry host may use: its own, less loans granted, plus
+/// loans received.
 class EntitlementParts {
  public:
-  /// Requests per second that this host may use without loans.
+  /// Sets the requests per second that this host may use without loans.
   void SetBase(const EntitlementKey& key, double requests_per_second);
 
-  /// A caller's request, admitted or not.
+  /// Records a caller's request, whether or not it is admitted.
   void OnDemand(const EntitlementKey& key,
                 const LoanPolicy& policy,
                 TimePoint now);
 
-  /// What to ask of one lender: demand above what is left without that lender's
-  /// present loans.
+  /// A loan to request from one lender: the demand in excess of what this host
+  /// may use without that lender's current loans.
   struct LoanRequest {
     EntitlementKey key;
     double requests_per_second = 0;
@@ -50,22 +53,23 @@
                                         const LoanPolicy& policy,
                                         TimePoint now);
 
-  /// Lends to `borrower` what is wished and not used here; it replaces an
-  /// earlier loan to the same borrower. Returns the rate lent; 0 for none.
+  /// Lends `borrower` up to `requested` of the rate that is unused here. The
+  /// loan replaces an earlier one to the same borrower. Returns the rate lent
+  /// in requests per second; 0 for none.
   double Grant(std::string_view borrower,
                const EntitlementKey& key,
                double requested,
                const LoanPolicy& policy,
                TimePoint now);
 
-  /// `lender` granted a loan on a question that was asked at `asked_at`.
+  /// `lender` granted a loan in reply to a request sent at `asked_at`.
   void OnGranted(std::string_view lender,
                  const EntitlementKey& key,
                  double requests_per_second,
                  const LoanPolicy& policy,
                  TimePoint asked_at);
 
-  /// Requests per second that this host may use now.
+  /// Requests per second that this host may use now, including loans.
   double Usable(const EntitlementKey& key, TimePoint now) const;
 
  private:
@@ -78,7 +82,8 @@
     double demand = 0;  ///< Requests per second, smoothed.
     TimePoint demand_at;
     std::map<std::string, Loan, std::less<>> borrowed;
-    /// All that have not run out: a borrower may still use an earlier one.
+    /// All loans that have not expired: a borrower that has not received the
+    /// latest reply may still use an earlier one.
     std::map<std::string, std::vector<Loan>, std::less<>> lent;
   };
 
--- a/include/filbertrack/admission_queue.h
+++ b/include/filbertrack/admission_queue.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// Requests that wait for room at a service, in a fair order: by priority, then
-/// by start-time fair queueing over workspaces, so that a large workspace's
-/// backlog does not stand before a small one's next request. A request that
-/// cannot be served before its deadline is given up at once.
+/// Queues requests that wait for capacity at a service. They are served by
+/// priority, lower values first, and within a priority by start-time fair
+/// queueing over workspaces, so that the backlog of a large workspace does not
+/// delay the next request of a small one. A request that cannot be served
+/// before its deadline is rejected at once.
 
 #include <cstdint>
 #include <deque>
@@ -21,7 +22,8 @@
   uint64_t id = 0;
   std::string workspace;
   int priority = 0;
-  /// Entitled share; the workspace's requests advance its time by one over it.
+  /// Entitled rate of the workspace. Each request advances the virtual finish
+  /// time of its workspace by 1 / weight.
   double weight = 1;
   TimePoint deadline;
 };
@@ -30,31 +32,37 @@
  public:
   explicit FairQueue(size_t max_waiting) : m_max_waiting(max_waiting) {}
 
-  /// False where the queue is full or the estimated wait passes the deadline.
+  /// Returns false if the queue is full or the estimated wait exceeds the
+  /// deadline.
   bool Push(QueuedRequest request, TimePoint now);
 
-  /// The request that Pop() would give; null where none waits.
+  /// The request that Pop() would return; null if the queue is empty.
   const QueuedRequest* Peek();
 
-  /// The next request to serve.
+  /// Removes the next request to serve; nullopt if the queue is empty.
   std::optional<QueuedRequest> Pop(TimePoint now);
 
-  /// Takes out the requests whose deadline leaves no time for `first_token`.
+  /// Removes and returns the requests that would miss their deadline even if
+  /// served now, with a time to first token of `first_token`.
   std::vector<QueuedRequest> TakeUnservable(Duration first_token,
                                             TimePoint now);
 
+  /// Returns false if no request with this id is queued.
   bool Remove(uint64_t id);
 
-  /// How long a request that comes now would wait.
+  /// Estimated wait of a request that arrives now: the smoothed interval
+  /// between pops times the number of queued requests.
   Duration EstimatedWait() const;
 
   size_t size() const { return m_size; }
 
  private:
+  /// The queue of one workspace at one priority.
   struct Flow {
-    double last_finish_tag =
-        0;  ///< Virtual time at which the lane's last one ends.
+    /// Virtual time at which the last request pushed would be finished.
+    double last_finish_tag = 0;
     std::deque<QueuedRequest> waiting;
+    /// Virtual start times of the requests in `waiting`.
     std::deque<double> start_tags;
   };
   using Flows = std::map<std::string, Flow, std::less<>>;
@@ -64,7 +72,7 @@
   size_t m_max_waiting;
   size_t m_size = 0;
   double m_virtual_time = 0;
-  /// Smoothed time between two requests leaving the queue.
+  /// Smoothed time between two calls of Pop() that returned a request.
   Duration m_pop_interval{0};
   std::optional<TimePoint> m_last_pop;
   std::map<int, Flows> m_priorities;
--- a/source/admission_division.cc
+++ b/source/admission_division.cc
@@ -24,8 +24,7 @@
     return division;
   } catch (const nlohmann::json::exception& error) {
     return Fail(ResultCode::kResourceInvalid,
-                std::string("The division of entitlements cannot be read: ") +
-                    error.what());
+                std::string("invalid entitlement division: ") + error.what());
   }
 }
 
@@ -46,11 +45,12 @@
 
 void DivisionTracker::OnMajorityLeft(const DivisionPolicy& policy,
                                      TimePoint now) {
-  // At least half of the hosts renew a part, and more than half must have left
-  // the division before one grows: two halves of the fleet that are cut from
-  // each other can both go on with the old parts, and neither can start with
-  // new ones. From now on nobody can renew an old part; the last renewals run
-  // out after confirm_within, and what was lent under them after loan_time.
+  // Confirming a share takes at least half of the hosts, and enlarging one
+  // requires more than half to have left the previous division. In a partition
+  // into two halves, both can therefore keep the old shares and neither can
+  // start to use new ones. From now on no host can confirm an old share: the
+  // last confirmations expire after confirmation_ttl, and loans granted under
+  // them after a further loan_ttl.
   if (!m_grows_at) {
     m_grows_at = now + policy.confirmation_ttl + policy.loan_ttl;
   }
@@ -64,8 +64,8 @@
   if (m_grows_at && now >= *m_grows_at) {
     return ShareIn(m_division.nodes);
   }
-  // The division before was settled when this one was written, so its part is
-  // this host's to use, even if this host never heard of that division.
+  // The previous division was settled when this one was written, so this host
+  // may use its share of it even if it never received that division.
   return std::min(ShareIn(m_division.previous_nodes),
                   ShareIn(m_division.nodes));
 }
--- a/source/admission_limits.cc
+++ b/source/admission_limits.cc
@@ -4,7 +4,9 @@
 
 namespace {
 
+/// Capacity of a bucket, in seconds of its rate.
 constexpr double kBurstSeconds = 1;
+/// Sent to a caller while this host has no share of the entitlement.
 constexpr Duration kRetryWithoutShare = Seconds(1);
 
 }  // namespace
--- a/source/admission_parts.cc
+++ b/source/admission_parts.cc
@@ -52,8 +52,8 @@
     return 0;
   }
   Part& part = found->second;
-  // Only a host's own part is lent on. Loans that travel on in a circle would
-  // keep each other alive after the first lender wants its part back.
+  // Borrowed rates are not lent on: loans passed around a cycle of hosts would
+  // keep renewing each other after the first lender needs its rate back.
   const double own = part.base - Lent(part, borrower, now);
   const double unused = own - DemandNow(part, policy, now);
   const double granted =
@@ -74,7 +74,7 @@
                                  TimePoint asked_at) {
   Loan& loan = m_parts[key].borrowed[std::string(lender)];
   const TimePoint ends = asked_at + policy.loan_ttl;
-  // An answer that was overtaken by a later one is not news.
+  // Ignores a reply that arrives after the reply to a later request.
   if (ends > loan.ends) {
     loan = {requests_per_second, ends};
   }
--- a/source/admission_queue.cc
+++ b/source/admission_queue.cc
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kMinWeight = 1e-3;
-/// A quiet time says nothing about how fast the queue moves when it is full.
+/// Longer intervals between pops are counted as this: an idle period does not
+/// show how fast the queue drains under load.
 constexpr Duration kMaxInterval = Seconds(1);
 
 }  // namespace
@@ -94,7 +95,9 @@
     Flow* next = nullptr;
     for (auto flow = flows.begin(); flow != flows.end();) {
       if (flow->second.waiting.empty()) {
-        // An idle workspace keeps no credit and no debt past the present.
+        // An empty flow is kept until the virtual time reaches its last finish
+        // tag, so that a workspace does not get ahead of its weight by letting
+        // its queue run empty.
         flow = flow->second.last_finish_tag <= m_virtual_time
                    ? flows.erase(flow)
                    : std::next(flow);
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -16,9 +16,10 @@
 const EntitlementKey kKey{"officers", "spectra"};
 
 TEST_CASE(
-    "property: loans never make more than the whole, answers lost or late") {
-  // Two hosts ask each other at any time; each answer may be lost or arrive a
-  // second late. The sum in use stays within the two base parts.
+    "property: loans never exceed the entitlement, replies lost or delayed") {
+  // Two hosts request loans from each other at any time; each reply may be lost
+  // or delayed by up to 1.5 s. The sum of the rates in use stays within the sum
+  // of the two base rates.
   REQUIRE(rc::check("loans", [] {
     const LoanPolicy policy;
     std::vector<EntitlementParts> hosts(2);
@@ -73,9 +74,10 @@
   }));
 }
 
-TEST_CASE("an unused part is lent, and comes back by age") {
-  // A caller whose requests all reach one entry host gets nearly the whole of
-  // its entitlement there, and the other host has its part back later.
+TEST_CASE("an unused part is lent and returns when the loan expires") {
+  // A caller whose requests all reach one entry host can use nearly its whole
+  // entitlement there. Once the loan expires, the other host has its part
+  // again.
   const LoanPolicy policy;
   EntitlementParts busy;
   EntitlementParts idle;
@@ -95,19 +97,19 @@
   CHECK(idle.Usable(kKey, later) == doctest::Approx(10));
 }
 
-/// A host at the interface of the division rules.
+/// An entry host reduced to its DivisionTracker and the epochs it has heard.
 struct DividedHost {
   explicit DividedHost(const std::string& name) : name(name), tracker(name) {}
   std::string name;
   DivisionTracker tracker;
-  /// What it last heard of each host: epoch, and when that was true.
+  /// Epoch last heard of each host, and when that host had it.
   std::map<std::string, std::pair<uint64_t, TimePoint>> heard;
 };
 
 TEST_CASE(
-    "property: the parts in use never pass the whole, also in partitions") {
-  // Hosts come and go, messages are lost between any two, and the division is
-  // rewritten by whoever reaches the store.
+    "property: shares in use never exceed the whole, also in partitions") {
+  // Hosts join and leave, messages between any two are lost, and any host that
+  // reaches the store may write the next division.
   REQUIRE(rc::check("division", [] {
     const DivisionPolicy policy;
     const std::vector<std::string> names = {"a", "b", "c", "d"};
@@ -186,8 +188,8 @@
 }
 
 TEST_CASE("three of six hosts replaced at once while the store is down") {
-  // Callers of the other three are still served: at least half of the hosts
-  // confirm the division, and nobody can write a new one.
+  // Requests at the other three are still admitted: at least half of the hosts
+  // confirm the division, and none can write a new one.
   const DivisionPolicy policy;
   DivisionTracker tracker("a");
   tracker.OnDivision({1, {"a", "b", "c", "d", "e", "f"}, {}}, kStart);
@@ -197,9 +199,9 @@
   CHECK(tracker.Share(policy, kStart + Seconds(64)) == 0);
 }
 
-TEST_CASE("a large workspace's backlog does not stand before a small one") {
-  // A clerk's one request is served second although a hundred of a large
-  // workspace came before it.
+TEST_CASE("a large workspace's backlog does not delay a small one") {
+  // The single request of a small workspace is served second although 100
+  // requests of a large one were queued before it.
   FairQueue queue(1000);
   for (uint64_t id = 1; id <= 100; ++id) {
     REQUIRE(queue.Push({id, "large", 1, 10, kStart + Seconds(60)}, kStart));
@@ -209,7 +211,7 @@
   CHECK(queue.Pop(kStart)->id == 999);
 }
 
-TEST_CASE("property: waiting workspaces are served by their weights") {
+TEST_CASE("property: queued workspaces are served by their weights") {
   REQUIRE(rc::check("fair", [] {
     const int heavy = *rc::gen::inRange(1, 8);
     FairQueue queue(100000);
@@ -229,7 +231,8 @@
 }
 
 TEST_CASE("a request that would wait past its deadline is refused at once") {
-  // The caller learns now that it should go elsewhere, not after its deadline.
+  // Otherwise the caller would learn only after its deadline that it should try
+  // elsewhere.
   FairQueue queue(1000);
   TimePoint now = kStart;
   for (uint64_t id = 0; id < 60; ++id) {
@@ -243,7 +246,7 @@
   CHECK(queue.Push({91, "w", 1, 1, now + Seconds(60)}, now));
 }
 
-TEST_CASE("a refusal says when a token will be there") {
+TEST_CASE("a refusal names the time until the next token") {
   Resources resources;
   resources.workspaces["w"] = {"w", "", 1, {{"s", 2}}};
   AdmissionLimits limits;
