--- a/include/filbertrack/dispatch_selector.h
+++ b/include/filbertrack/dispatch_selector.h
@@ -1,13 +1,15 @@
 #pragma once
 
 /// Chooses the backend server, or the head of a group, that takes a request,
-/// and turns away what no one can answer in time. It counts this entry host's
-/// own work exactly; what other entry hosts have there is told by them.
+/// and refuses requests that no target can answer in time. The load that this
+/// entry host places on a target is counted exactly; the load placed by other
+/// entry hosts is what they report by gossip.
 ///
-/// The load that it is made for: a burst over all capacity, where a request
-/// more would make every request that runs late. A request is taken while its
-/// first event is expected in time at the best of a few targets; otherwise it
-/// is turned away at once, with the time after which there should be room.
+/// The critical case is a burst in excess of the total capacity, in which one
+/// more request would delay all running ones beyond their service-level
+/// objective (SLO). A request is accepted if its first event is predicted in
+/// time at the best of a few targets; otherwise it is refused at once, with the
+/// time after which capacity should be available.
 
 #include <cstdint>
 #include <map>
@@ -29,9 +31,9 @@
 
 namespace filbertrack {
 
-/// One place that answers requests.
+/// A backend server or group that answers requests.
 struct DispatchTarget {
-  /// Of the backend server, or of the head of the group.
+  /// Id of the backend server, or of the head of the group.
   std::string id;
   Address address;
   std::string service;
@@ -39,11 +41,11 @@
   std::string model;
   std::string data_centre;
   int slots = 1;
-  /// Connections that it accepts from all entry hosts.
+  /// Connections that it accepts from all entry hosts together; 0: not known.
   int max_connections = 0;
-  /// Start of the process, Unix ms; 0: not told.
+  /// Start of the process, Unix ms; 0: not known.
   uint64_t process_start_ms = 0;
-  /// Its data centre is evacuated: it takes no request.
+  /// Its data centre is evacuated, so it takes no requests.
   bool evacuated = false;
   /// Region of its data centre; empty: there is only one.
   std::string region{};
@@ -53,10 +55,10 @@
   return {target.id, target.process_start_ms};
 }
 
-/// Work at a target.
+/// Load at a target.
 struct TargetLoad {
   int requests = 0;
-  /// Tokens of prompts that are not read yet, as far as is known.
+  /// Prompt tokens that the target has not processed yet, as far as known.
   double prompt_tokens = 0;
 };
 
@@ -64,42 +66,43 @@
   std::string_view service;
   std::string_view model;
   double prompt_tokens = 0;
-  /// The first event is on time until this much after now.
+  /// Time until the SLO for the first event expires; negative once it has.
   Duration time_to_slo{0};
-  /// The caller has gone after this.
+  /// Time until the caller gives up.
   Duration time_left{0};
-  /// Targets that this request was sent to already.
+  /// Targets that this request was sent to already; null: none.
   const std::set<std::string, std::less<>>* excluded = nullptr;
-  /// Targets of this data centre go first while one of them answers in time;
-  /// empty: all are alike. Loads of the own data centre are some 100 ms old,
-  /// others half a second, in which a target gets several requests.
+  /// Targets of this data centre are preferred while one of them is predicted
+  /// to meet the SLO; empty: no preference. Loads from the local data centre
+  /// are about 100 ms old and others about 500 ms, in which time a target
+  /// receives several requests.
   std::string_view local_data_centre;
-  /// Knows which targets ask for no request now; null: none does.
+  /// Tells which targets accept no request now; null: all accept requests.
   const Backpressure* backpressure = nullptr;
-  /// Regions that the request may reach by its route, and by its workspace;
-  /// where both name some, both bind. Empty: any.
+  /// Regions that the route and the workspace of the request allow. If both
+  /// name regions, a target must be in both lists. Empty: any region.
   std::span<const std::string> route_regions;
   std::span<const std::string> workspace_regions;
 };
 
 enum class DispatchDenial {
-  /// Nothing serves the model now.
+  /// No target serves the model, or all that do were tried.
   kNoneServing,
-  /// Targets serve, and none would answer before the caller has gone.
+  /// Targets serve the model, but none is predicted to answer in time.
   kAllBusy,
-  /// Targets serve, and each that is left asked for no request now.
+  /// Every remaining target asked for no requests at present.
   kAllHeldBack,
-  /// What serves the model stands in data centres that are evacuated.
+  /// All targets of the model are in evacuated data centres.
   kAllEvacuated,
-  /// Nothing serves the model in the regions that the request may reach.
+  /// No target serves the model in the regions allowed for the request.
   kNoneInRegions,
 };
 
 struct DispatchChoice {
   DispatchTarget target;
   Duration predicted{0};
-  /// Requests there when it was chosen: of this host, and of the others as they
-  /// told so long ago.
+  /// Requests at the target when it was chosen: those of this host, and those
+  /// that other hosts reported, on average `loads_age` ago.
   int own_requests = 0;
   int other_requests = 0;
   Duration loads_age{0};
@@ -108,7 +111,7 @@
 struct DispatchRefusal {
   DispatchDenial reason = DispatchDenial::kNoneServing;
   Duration retry_after{0};
-  /// Where all are busy: what the best of them would have taken.
+  /// For kAllBusy: predicted time to first event at the best target.
   Duration predicted{0};
 };
 
@@ -116,84 +119,88 @@
 
 enum class DispatchResult {
   kAnswered,
-  /// It did not run the request.
+  /// The target did not run the request.
   kRefused,
-  /// The answer broke off, never came, or was an error.
+  /// The answer was interrupted, missing or an error.
   kFailed,
-  /// The caller left, or the time was up.
+  /// The caller disconnected, or the deadline passed.
   kAbandoned,
 };
 
 struct DispatchPolicy {
-  /// Targets drawn at random for one request, of which the best is taken. Loads
-  /// of other entry hosts are up to 150 ms old: were all targets looked at, all
-  /// hosts would send to the same one until the next news. The cost does not
-  /// grow with the fleet.
+  /// Targets drawn at random for one request; the best of them is chosen. Loads
+  /// of other entry hosts are up to 150 ms old: if every host compared all
+  /// targets, all would send to the same one until the next gossip message. The
+  /// cost of a choice is independent of the fleet size.
   size_t candidates = 3;
-  /// A target that failed is left out for this long, doubled with each failure
-  /// in a row.
+  /// How long a target is skipped after a failure; doubles with each
+  /// consecutive failure, up to max_failure_pause.
   Duration failure_pause = Milliseconds(300);
   Duration max_failure_pause = Seconds(4);
-  /// At least this part of the targets of a model stays in use whatever fails.
+  /// If more than this fraction of the targets of a model is paused, paused
+  /// targets are used as well.
   double min_in_use = 0.5;
-  /// While places are free somewhere, a request is taken up to this many times
-  /// its aim: it makes few wait, a late answer is still worth something to the
-  /// caller, and a prediction may be too high.
+  /// While any target has free slots, a request is accepted if its predicted
+  /// time is at most this multiple of its time to SLO: it delays few others, a
+  /// late answer is still of use to the caller, and the prediction may be too
+  /// high.
   double slo_factor = 2.0;
-  /// The same once all places are taken: who is let in late then makes
-  /// everybody behind late.
+  /// The same multiple once all slots are taken: a late request then delays all
+  /// requests behind it.
   double saturated_slo_factor = 1.0;
-  /// Before a request is turned away, so many targets are looked at for one
-  /// that answers within its aim: a draw of a few misses the last ones that
-  /// have room. It bounds the cost of a refusal.
+  /// How many targets are examined for one that meets the SLO before a request
+  /// is refused, since a small random draw misses the last targets with
+  /// capacity. Bounds the cost of a refusal.
   size_t max_candidates = 64;
-  /// Such a target is taken while so much of its slots is taken at the most: of
-  /// many targets, the one that looks free is most likely one that others are
-  /// just filling.
+  /// A target found this way is used only up to this fraction of its slots:
+  /// among many targets, one that appears free is most likely being filled by
+  /// other entry hosts already.
   double max_slot_share = 0.85;
 
-  // Switches, to measure what each mechanism is worth.
+  // Switches for measuring the effect of single mechanisms.
 
-  /// More targets are looked at before a request is refused.
+  /// Up to max_candidates targets are examined before a request is refused.
   bool looks_wider = true;
-  /// Targets that fail are paused.
+  /// Failing targets are skipped for failure_pause.
   bool pauses_failing = true;
-  /// Predictions follow what was measured at each target.
+  /// Predictions are corrected by the times measured at each target.
   bool learns_speed = true;
 
-  /// A caller is told to come back after this where nothing serves: about the
-  /// time that a swap of a lost member takes.
+  /// Retry-after time if no target serves the model: about the time that
+  /// replacing a lost group member takes.
   Duration repair_time = Milliseconds(1500);
-  /// The shortest time that is told: a caller who is placed then may still be
-  /// answered within its aim.
+  /// Lower bound of the retry-after time: a caller that is accepted after it
+  /// may still be answered within its SLO.
   Duration min_retry_after = Milliseconds(50);
   Duration max_retry_after = Seconds(2);
-  /// Requests of this long ago count about a third in the pressure: shorter
-  /// than a load of weights takes, longer than a burst of a second.
+  /// Time constant of the exponential decay of accepted and refused requests:
+  /// shorter than loading model weights takes, longer than a burst of a second.
   Duration activity_decay_time = Seconds(3);
-  /// Pressure is told up to this: what callers ask again is counted anew, so
-  /// that more says little.
+  /// Upper bound of the pressure: retries of refused callers are counted as new
+  /// requests, so higher values carry little information.
   double max_pressure = 3;
-  /// Weight of the latest measurement in running means.
+  /// Weight of the latest measurement in exponential averages.
   double smoothing = 0.2;
 };
 
+/// Chooses targets for the requests of one entry host and tracks their load.
 class TargetSelector {
  public:
   TargetSelector(DispatchPolicy policy, uint64_t seed)
       : m_policy(policy), m_random(seed) {}
 
-  /// Targets in use from now on. What is known of those that stay is kept.
+  /// Replaces the targets in use. Measurements of targets that remain are kept
+  /// unless the target's process was restarted.
   void SetTargets(std::vector<DispatchTarget> targets,
                   const Catalog& catalog,
                   TimePoint now);
 
-  /// What other entry hosts have at the targets; at those that are not named
-  /// they have nothing. `unheard` more hosts exist that told nothing yet; each
-  /// is taken to have as much as this one, evenly spread. After a start of the
-  /// whole fleet callers come back all at once, and hosts that take the groups
-  /// for idle would send them several times what they can do. `true_at`: when
-  /// the loads were so at their hosts, in the mean.
+  /// Replaces the loads of other entry hosts; targets that are not named have
+  /// none. A further `unreported_hosts` hosts have not reported yet. Each is
+  /// assumed to have as much load as this one, spread evenly: after a restart
+  /// of the whole fleet all callers return at once, and hosts that assumed idle
+  /// targets would send them several times their capacity. `as_of` is the mean
+  /// time at which the loads were measured.
   void SetRemoteLoads(
       const std::map<std::string, TargetLoad, std::less<>>& loads,
       size_t unreported_hosts,
@@ -214,43 +221,43 @@
                DispatchResult result,
                TimePoint now);
 
-  /// Own work at every target that has any.
+  /// This host's load at every target where it has requests.
   std::vector<std::pair<std::string, TargetLoad>> OwnLoads() const;
 
   bool HasTarget(std::string_view id) const;
 
   size_t CountTargets() const;
 
-  /// Mean time since the work of other hosts was as it is counted.
+  /// Mean age of the loads reported by other hosts.
   Duration LoadsAge(TimePoint now) const { return now - m_remote_at; }
 
-  /// How much of what its targets can do at once is asked of a model: 1 where
-  /// all slots are taken, more where requests are turned away. nullopt: it has
-  /// no target.
+  /// Demand for a model relative to the slots of its targets: 1 if all slots
+  /// are taken, more if requests are refused, at most max_pressure. nullopt:
+  /// the model has no target.
   std::optional<double> Pressure(std::string_view service,
                                  std::string_view model,
                                  TimePoint now) const;
-  /// The highest pressure of all models and plain services; 0: no targets.
+  /// The highest pressure of all models and plain services; 0 without targets.
   double MaxPressure(TimePoint now) const;
 
-  /// Time to the first event at `id` of a prompt of so many tokens.
+  /// Predicted time to first event at target `id`; 0 if there is none.
   Duration Predict(std::string_view id, double prompt_tokens) const;
 
  private:
   struct ModelActivity;
   struct Entry {
     DispatchTarget target;
-    /// Null for plain services.
+    /// Null for plain services. Points into `m_engines`.
     const EngineProfile* engine = nullptr;
     double pace = 1;
     bool in_use = true;
     TargetLoad own;
     TargetLoad remote;
-    /// Measured over predicted time, smoothed; 1 is as predicted.
+    /// Measured divided by predicted time, smoothed; 1: as predicted.
     double slowness = 1;
     int failures = 0;
     TimePoint last_failure;
-    /// Of its service and model.
+    /// Activity of its service and model.
     ModelActivity* activity = nullptr;
   };
   using Targets = std::vector<Entry*>;
@@ -259,18 +266,20 @@
     Targets all;
     std::map<std::string, Targets, std::less<>> by_data_centre;
   };
-  /// What was seen of a model lately.
+  /// Recent requests and measurements of one service and model.
   struct ModelActivity {
-    /// Requests that asked for it, older ones counting less.
+    /// Requests accepted and refused, decayed exponentially.
     double placed = 0;
     double refused = 0;
-    /// Requests at a target that was chosen that nobody had told of, smoothed.
+    /// Requests at a chosen target that no host had reported yet, smoothed.
     double unseen = 0;
-    /// Time of a first event beyond what the profile explains, where places are
-    /// free: the way there and back, and what the engine does not publish.
+    /// Time to first event in excess of the engine profile while slots are
+    /// free: the network round trip, and engine overhead that it does not
+    /// publish.
     Duration overhead{0};
     TimePoint updated;
-    /// Since when refusals have come without a long pause, and the latest one.
+    /// Start of the current series of refusals, and the latest refusal. A gap
+    /// longer than the decay time ends a series.
     TimePoint refusing_since;
     TimePoint last_refusal;
   };
@@ -286,60 +295,64 @@
                     TimePoint now) const;
   static std::string GroupKey(std::string_view service, std::string_view model);
   bool IsPaused(const Entry& entry, TimePoint now) const;
-  /// Time in which one of the requests of a full target ends.
+  /// Mean time between two requests that end at a full target.
   Duration SlotReleaseInterval(const Entry& entry) const;
-  /// Learns of the model from a first event that came this much after its
-  /// prediction: its overhead where places are free, otherwise how many
-  /// requests were there that nobody had told of. One target tells a host
-  /// little of itself in a large fleet, and all targets of a model much of the
-  /// model; what is left is the target's own speed.
+  /// Updates the activity of the model from a first event that came `late`
+  /// after its prediction: the overhead if the target had free slots, otherwise
+  /// the number of unreported requests. In a large fleet one host has few
+  /// measurements per target but many per model, so the common part is learned
+  /// per model and only the rest as the target's slowness.
   void LearnModel(Entry& entry, Duration late);
   static Duration Overhead(const Entry& entry);
-  /// Requests at the target, with those that nobody told of.
+  /// Requests at the target, including the estimate of unreported ones.
   static double CountRequests(const Entry& entry);
   static bool IsFull(const Entry& entry);
   static bool AreAllSlotsTaken(const Targets& targets,
                                const DispatchQuery& query,
                                TimePoint now);
-  /// A request that would wait longer than this for its first event at the
-  /// target is refused.
+  /// The longest predicted time to first event at which a request is accepted
+  /// at the target.
   Duration MaxWait(const Entry& entry,
                    const Group& group,
                    const DispatchQuery& query,
                    TimePoint now) const;
   Duration PredictEntry(const Entry& entry, double prompt_tokens) const;
-  /// The request may not reach the target's region.
+  /// The target is outside the regions allowed for the request.
   static bool IsOutsideRegions(const Entry& entry, const DispatchQuery& query);
-  /// The request was sent there already, or may not be sent there.
+  /// The request was sent to the target already or may not be sent there.
   static bool IsExcluded(const Entry& entry, const DispatchQuery& query);
-  /// The request was sent there already.
+  /// The request was sent to the target already.
   static bool WasTried(const Entry& entry, const DispatchQuery& query);
-  /// The target asked for no request now.
+  /// The target asked for no requests at present.
   static bool IsHeldBack(const Entry& entry,
                          const DispatchQuery& query,
                          TimePoint now);
   DispatchRefusal RefuseWithoutTarget(const Group& group,
                                       const DispatchQuery& query,
                                       TimePoint now);
+  /// Up to `limit` eligible targets in order from a random start, without
+  /// paused ones unless none else is left or too many are paused.
   Targets DrawCandidates(const Targets& targets,
                          const DispatchQuery& query,
                          size_t limit,
                          TimePoint now);
-  /// The best of some drawn at random, or `best` where none is better.
+  /// Adds an estimate of the load that `unreported_hosts` have at `targets`.
   void AddEstimatedLoads(Targets& targets, size_t unreported_hosts);
   void RecordOutcome(const DispatchQuery& query, bool placed, TimePoint now);
-  /// When a caller that finds all busy may come back. At first at once, as a
-  /// place comes free with each answer; then after as long as callers have been
-  /// refused so far, for what lasts will last. Told the same short time
-  /// throughout, most would come back into the same burst, be refused again and
-  /// give up.
+  /// Retry-after time of a caller that finds all targets busy. It is short at
+  /// first, since every answer frees a slot, and then grows with the time that
+  /// callers have been refused so far, as an overload that has lasted is likely
+  /// to last as long again. With a constant short time most callers would retry
+  /// into the same burst, be refused again and give up.
   Duration RetryAfter(const DispatchQuery& query, TimePoint now);
+  /// The target with the shortest predicted time among some drawn at random, or
+  /// `best` if none is better.
   Best FindBest(const Targets& targets,
                 const DispatchQuery& query,
                 TimePoint now,
                 Best best);
-  /// The first one, from a random start, that has clear room and answers within
-  /// the aim, or `best` where none does.
+  /// The first target, from a random start, that is below max_slot_share and is
+  /// predicted to meet the SLO, or `best` if there is none.
   Best FindRoom(const Targets& targets,
                 const DispatchQuery& query,
                 TimePoint now,
@@ -347,18 +360,20 @@
 
   DispatchPolicy m_policy;
   std::mt19937_64 m_random;
-  /// Keeps the profiles that the entries point to.
+  /// Owns the profiles that the entries point to.
   std::map<std::string, EngineProfile, std::less<>> m_engines;
   std::map<std::string, std::unique_ptr<Entry>, std::less<>> m_entries;
   std::unordered_map<std::string, Group> m_groups;
-  /// Services and models with targets that are evacuated, as keys of groups.
+  /// Keys of groups that have evacuated targets.
   std::set<std::string> m_evacuated_groups;
   std::unordered_map<std::string, ModelActivity> m_activity;
+  /// Mean time at which the remote loads were measured.
   TimePoint m_remote_at;
 };
 
-/// Time of one pass of an engine with `requests` writing and a chunk of
-/// prompts to read, at the pace of the model.
+/// Time of one pass of an engine in which `requests` generate tokens and
+/// `chunk_tokens` prompt tokens are processed. `pace` is the model's time
+/// factor relative to the engine profile.
 Duration PassTime(const EngineProfile& engine,
                   double pace,
                   double requests,
--- a/source/dispatch_connections.cc
+++ b/source/dispatch_connections.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Part of a server's connections that may lie idle. The other half is for
-/// requests that are running or queue there and for new connections of requests
-/// that must not use a kept one. With 70 entry hosts, 110 connections a server
-/// and no such bound, 707 of 1,682 requests that run at most once met a reset;
-/// that many hosts keep none by this share.
+/// Fraction of a server's connections that may be idle. The other half is for
+/// requests that run or are queued there, and for new connections of requests
+/// that must not use a kept one. Without this bound, with 70 entry hosts and
+/// 110 connections per server, 707 of 1,682 requests that run at most once got
+/// a connection reset; with it, that many hosts keep no idle connections.
 constexpr double kIdleShare = 0.5;
 
 }  // namespace
--- a/source/dispatch_predict.cc
+++ b/source/dispatch_predict.cc
@@ -3,27 +3,31 @@
 
 #include "filbertrack/dispatch_selector.h"
 
-/// The part of the board that predicts when a first event comes, and learns
-/// from when it came.
+/// Part of TargetSelector: predicts the time to first event and corrects the
+/// prediction by measured times.
 
 namespace filbertrack {
 
 namespace {
 
-/// A target is never predicted slower than this many times its profile, so
-/// that some requests still reach it and can show that it has recovered.
+/// Upper bound of a target's slowness relative to its profile, so that some
+/// requests still reach it and show when it has recovered.
 constexpr double kMaxSlowness = 10;
-/// And never faster than this part of the engine's published step times, which
-/// name its pace.
+/// Lower bound of the slowness for targets with an engine profile, whose
+/// published step times state their speed.
 constexpr double kMinSlowness = 0.5;
-/// Time of a request at a plain backend server where nothing was measured yet.
-/// No page publishes it; services differ by far more than engines do.
+/// Assumed time of a request at a plain backend server before the first
+/// measurement. Plain services publish no times.
 constexpr Duration kPlainRequestTime = Milliseconds(60);
+/// Lower bound of the slowness for plain services, which differ in speed far
+/// more than engines do.
 constexpr double kMinPlainSlowness = 0.01;
-/// From so many of its slots on a target may be full by what is not told yet.
+/// Fraction of taken slots from which a target may be full because of requests
+/// that other hosts have not reported yet.
 constexpr double kNearlyFullShare = 0.7;
-/// Most requests at a target, as a part of its slots, that a late first event
-/// is laid to; beyond it the target is slow.
+/// Upper bound of the estimate of unreported requests at a target, as a
+/// fraction of its slots. A first event later than that shows a slow or stalled
+/// target.
 constexpr double kMaxUnseen = 0.5;
 constexpr double kPerThousand = 1e-3;
 constexpr double kPerMillion = 1e-6;
@@ -56,8 +60,8 @@
 }
 
 Duration TargetSelector::SlotReleaseInterval(const Entry& entry) const {
-  // While all slots are taken, each pass also reads the prompts of those that
-  // took the place of others.
+  // While all slots are taken, each pass also processes prompts of requests
+  // that replaced completed ones.
   const EngineProfile& engine = *entry.engine;
   const double slots = std::max(1, entry.target.slots);
   const double passes =
@@ -78,8 +82,8 @@
   }
   const EngineProfile& engine = *entry.engine;
   const double generating = std::min(requests, slots);
-  // Prompts are read a chunk a pass, in the order of arrival, between the steps
-  // of those that write.
+  // Prompts are processed in order of arrival, one chunk per pass, alongside
+  // the steps of requests that generate tokens.
   const double backlog =
       entry.own.prompt_tokens + entry.remote.prompt_tokens + prompt_tokens;
   const double chunk = std::max(1, engine.chunk_tokens);
@@ -89,10 +93,10 @@
   const double pairs = prompt_tokens * prompt_tokens / 2;
   const Duration attention =
       Scale(engine.prompt_per_million_pairs, pairs * kPerMillion * entry.pace);
-  // A request above the slots waits until so many of those that run have
-  // written their answers.
+  // A request in excess of the slots waits for that many running requests to
+  // complete.
   const Duration queue = Scale(SlotReleaseInterval(entry), waiting);
-  // The pass that runs has to end first; it is half over in the mean.
+  // The pass in progress must end first; on average it is half over.
   const Duration current_pass =
       generating > 0 ? PassTime(engine, entry.pace, generating, 0) / 2
                      : Duration(0);
@@ -143,7 +147,7 @@
   const Duration release_interval = SlotReleaseInterval(entry);
   const double max_extra_requests = slots * kMaxUnseen;
   if (late > Scale(release_interval, max_extra_requests)) {
-    // It stood still or is slow; neither is said of the others by that.
+    // The target stalled or is slow, which says nothing about the others.
     return;
   }
   if (CountRequests(entry) < slots * kNearlyFullShare) {
--- a/source/dispatch_selector.cc
+++ b/source/dispatch_selector.cc
@@ -40,8 +40,8 @@
     }
     if (IsNewerInstance(target.process_start_ms,
                         entry->target.process_start_ms)) {
-      // Measured at an earlier process. Own requests are counted until each of
-      // them ends.
+      // The measurements are of an earlier process. Requests of this host are
+      // counted until each of them ends.
       entry->slowness = 1;
       entry->failures = 0;
       entry->remote = {};
@@ -57,7 +57,7 @@
     entry->activity =
         &m_activity[GroupKey(entry->target.service, entry->target.model)];
   }
-  // A target that is no longer in use is kept while it has requests of ours.
+  // A target no longer in use is kept while it has requests of this host.
   std::erase_if(m_entries, [](const auto& row) {
     return !row.second->in_use && row.second->own.requests == 0;
   });
@@ -156,8 +156,8 @@
 bool TargetSelector::IsHeldBack(const Entry& entry,
                                 const DispatchQuery& query,
                                 TimePoint now) {
-  // A server that names a limit soon has the fewest requests, so all entry
-  // hosts would choose it.
+  // A server that names a limit soon has the fewest requests, so every entry
+  // host would otherwise choose it.
   return query.backpressure != nullptr &&
          !query.backpressure->MaySend(InstanceOf(entry.target), now);
 }
@@ -169,7 +169,8 @@
     TimePoint now) {
   Targets usable;
   Targets paused;
-  // A random start and then in turn: a sample without a copy of the group.
+  // Consecutive targets from a random start give a sample without copying the
+  // group.
   const size_t start = m_random() % targets.size();
   for (size_t i = 0; i < targets.size() && usable.size() < limit; ++i) {
     Entry* entry = targets[(start + i) % targets.size()];
@@ -180,7 +181,7 @@
   }
   const double least =
       m_policy.min_in_use * static_cast<double>(targets.size());
-  // If most of the targets fail at once, it is hardly the targets.
+  // If most targets fail at once, the cause is unlikely to be the targets.
   if (static_cast<double>(paused.size()) > least || usable.empty()) {
     usable.insert(usable.end(), paused.begin(), paused.end());
   }
@@ -234,8 +235,8 @@
                                ToSeconds(m_policy.activity_decay_time));
   activity.placed = activity.placed * kept + (placed ? 1 : 0);
   activity.refused = activity.refused * kept + (placed ? 0 : 1);
-  // Otherwise nobody would be let in any more, and nothing be learned, where
-  // all look full by it.
+  // Without decay, an estimate at which all targets appear full would refuse
+  // every request and never be corrected by a measurement.
   activity.unseen *= kept;
   activity.updated = now;
   if (placed) {
@@ -297,7 +298,7 @@
   double requests = 0;
   double slots = 0;
   for (const Entry* entry : targets) {
-    // Its free places are no room for the request.
+    // Its free slots are not available to the request.
     if (IsOutsideRegions(*entry, query) || IsHeldBack(*entry, query, now)) {
       continue;
     }
@@ -318,7 +319,8 @@
     return std::min(query.time_left,
                     Scale(query.time_to_slo, m_policy.saturated_slo_factor));
   }
-  // It makes few wait. If it is late already, it is served late.
+  // Slots are free, so the request delays few others. A request whose SLO has
+  // expired is still served.
   const Duration longest = query.time_to_slo > Duration(0)
                                ? Scale(query.time_to_slo, m_policy.slo_factor)
                                : query.time_left;
--- a/tests/dispatch_backpressure_test.cc
+++ b/tests/dispatch_backpressure_test.cc
@@ -2,12 +2,13 @@
 
 #include "dispatch_fixture.h"
 
-/// Targets that take no request now.
+/// Targets that accept no requests at present.
 
 namespace filbertrack {
 namespace {
 
-/// Servers t0 up to `count` name a limit that this host has used up.
+/// The first `count` servers, from t0 on, name a limit that this host has used
+/// up.
 Backpressure HoldBack(int count) {
   Backpressure backpressure("e0", {}, 0);
   for (int i = 0; i < count; ++i) {
@@ -16,7 +17,7 @@
   return backpressure;
 }
 
-TEST_CASE("a target that takes no request now is passed over") {
+TEST_CASE("a target that accepts no requests is skipped") {
   SelectorFixture fixture(3);
   const Backpressure backpressure = HoldBack(2);
   DispatchQuery query = MakeQuery();
@@ -26,7 +27,7 @@
   }
 }
 
-TEST_CASE("a caller that no target takes now is told when one will") {
+TEST_CASE("when no target accepts requests, retry-after is when one will") {
   SelectorFixture fixture(2);
   const Backpressure backpressure = HoldBack(2);
   DispatchQuery query = MakeQuery();
@@ -39,9 +40,9 @@
   CHECK(fixture.Place(query, kStart + refusal->retry_after) != "");
 }
 
-TEST_CASE("places that a limit keeps free are no room for others") {
-  // Otherwise callers are let in late at full targets, as if there were room
-  // beside them, and make everybody behind late.
+TEST_CASE("free slots of a rate-limited target do not count as free") {
+  // If they counted, late requests would be accepted at full targets as if
+  // slots were free elsewhere, and would delay all requests behind them.
   SelectorFixture fixture(4);
   const Backpressure backpressure = HoldBack(2);
   DispatchQuery query = MakeQuery();
--- a/tests/dispatch_cost.cc
+++ b/tests/dispatch_cost.cc
@@ -1,6 +1,6 @@
-/// Prints what a choice of a target, a refresh of all targets and a pass of the
-/// planner cost with 60, 600 and 3,300 hosts. Not a test: times are those of
-/// the machine.
+/// Benchmark, not a test: prints the time of choosing a target, of replacing
+/// all targets and of one pass of the planner with 60, 600 and 3,300 hosts. The
+/// times depend on the machine.
 
 #include <chrono>
 #include <cstdio>
@@ -40,7 +40,7 @@
   return elapsed.count() / times;
 }
 
-/// A fleet whose groups were formed, and the directory that shows it.
+/// A fleet in which all groups have formed, and the directory that lists them.
 struct SteadyFleet {
   explicit SteadyFleet(int hosts) : fleet(1) {
     for (int i = 0; i < hosts; ++i) {
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A board over targets of one model, for tests of the choice among them.
+/// A TargetSelector with targets of one model, for the tests of dispatch.
 
 #include <string>
 #include <utility>
@@ -59,7 +59,7 @@
   return query;
 }
 
-/// Looks at every target, for cases about the choice among them.
+/// Compares all targets, for tests that expect a certain choice.
 inline DispatchPolicy LookAtAll() {
   DispatchPolicy policy;
   policy.candidates = 100;
@@ -72,6 +72,8 @@
     selector.SetTargets(MakeTargets(targets, "m"), MakeCatalog(), kStart);
   }
 
+  /// Chooses a target and records the request as sent. Returns the id of the
+  /// target; empty if the request was refused.
   std::string Place(const DispatchQuery& query, TimePoint now = kStart) {
     const auto decision = selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
--- a/tests/dispatch_test.cc
+++ b/tests/dispatch_test.cc
@@ -23,7 +23,7 @@
   }
 }
 
-TEST_CASE("work of other entry hosts counts like our own") {
+TEST_CASE("load of other entry hosts counts like this host's own") {
   SelectorFixture fixture(2);
   fixture.selector.SetRemoteLoads({{"t0", {10, 5000}}}, 0, kStart);
   for (int i = 0; i < 5; ++i) {
@@ -33,9 +33,9 @@
   CHECK(fixture.Place(MakeQuery()) == "t0");
 }
 
-TEST_CASE("a request that was answered leaves the board") {
-  // Otherwise a target looks busier with every answer, until its requests are
-  // turned away although it is idle.
+TEST_CASE("an answered request no longer counts as load") {
+  // Otherwise the load of a target grows with every answer until its requests
+  // are refused although it is idle.
   SelectorFixture fixture(1);
   for (int i = 0; i < 500; ++i) {
     REQUIRE(fixture.Place(MakeQuery()) == "t0");
@@ -47,7 +47,7 @@
   CHECK(fixture.selector.OwnLoads().empty());
 }
 
-TEST_CASE("a target that fails is left out, longer with each failure") {
+TEST_CASE("a failing target is skipped, longer with each failure") {
   SelectorFixture fixture(3);
   for (int i = 0; i < 3; ++i) {
     fixture.selector.OnSent("t0", 1);
@@ -65,8 +65,8 @@
 }
 
 TEST_CASE("when most targets fail at once all stay in use") {
-  // What fails is then hardly the targets; leaving them out would turn
-  // everybody away.
+  // The cause is then unlikely to be the targets, and skipping them would
+  // refuse every request.
   SelectorFixture fixture(3);
   for (const char* id : {"t0", "t1", "t2"}) {
     fixture.selector.OnSent(id, 1);
@@ -75,7 +75,7 @@
   CHECK(fixture.Place(MakeQuery()) != "");
 }
 
-TEST_CASE("nothing serves: refused at once, with the time of a repair") {
+TEST_CASE("no target: refused at once, with the time of a repair") {
   SelectorFixture fixture(0);
   const auto decision = fixture.selector.Choose(MakeQuery(), kStart);
   const auto* refusal = std::get_if<DispatchRefusal>(&decision);
@@ -84,7 +84,7 @@
   CHECK(refusal->retry_after >= Seconds(1));
 }
 
-TEST_CASE("a slow target gets less") {
+TEST_CASE("a slow target gets fewer requests") {
   SelectorFixture fixture(2);
   for (int i = 0; i < 30; ++i) {
     fixture.selector.OnSent("t0", 714);
@@ -100,7 +100,8 @@
   CHECK(slow <= 2);
 }
 
-/// First events at places that are free come so much later than predicted.
+/// Completes `times` requests, spread over 20 targets, whose first events come
+/// `late` after their prediction.
 void LearnLate(SelectorFixture& fixture, Duration late, int times) {
   for (int i = 0; i < times; ++i) {
     const std::string id = "t" + std::to_string(i % 20);
@@ -111,29 +112,31 @@
   }
 }
 
-TEST_CASE("what all targets of a model take longer is learned of all") {
-  // Each first event took 90 ms more than the engine's profile says. A host of
-  // a large fleet sends to one target every few seconds, so that it let callers
-  // in at full targets for seconds, as if 90 ms more were left to wait there.
+TEST_CASE("overhead common to all targets of a model is learned for all") {
+  // Each first event took 90 ms more than the engine profile states. A host of
+  // a large fleet sends to a given target only every few seconds. While it
+  // learned the overhead per target, it accepted requests at full targets for
+  // seconds although their first events were 90 ms later than predicted.
   SelectorFixture fixture(20);
   const Duration before = fixture.selector.Predict("t19", 714);
   LearnLate(fixture, Milliseconds(90), 15);
   CHECK(fixture.selector.Predict("t19", 714) > before + Milliseconds(60));
 }
 
-TEST_CASE("a target that stands still says nothing of the others") {
-  // A group lost a member: its callers wait for five seconds. Taken for the
-  // load of all, it would have everybody turned away.
+TEST_CASE("a stalled target does not affect predictions for the others") {
+  // A group that lost a member delays its callers by 5 s. If that counted as
+  // load of all targets, every request would be refused.
   SelectorFixture fixture(20);
   const Duration before = fixture.selector.Predict("t19", 714);
   LearnLate(fixture, Seconds(5), 15);
   CHECK(fixture.selector.Predict("t19", 714) == before);
 }
 
-TEST_CASE("late first events at full targets tell of requests nobody told of") {
-  // Other hosts fill the last places before they can say so. From what its own
-  // callers waited the host learns how many there are on the average, and turns
-  // away what has no place; places that are free are not affected.
+TEST_CASE("late first events at full targets reveal unreported requests") {
+  // Other hosts fill the last slots before they can report it. From the delays
+  // of its own requests the host estimates the mean number of unreported ones
+  // and refuses what would exceed the slots. Targets with free slots are not
+  // affected.
   SelectorFixture fixture(20);
   std::map<std::string, TargetLoad, std::less<>> loads;
   for (int i = 0; i < 20; ++i) {
@@ -147,9 +150,9 @@
   CHECK_FALSE(fixture.Place(MakeQuery()).empty());
 }
 
-TEST_CASE("a request that is late already is served where a place is free") {
-  // Its first target did not take it and its aim has passed. It makes nobody
-  // wait; turned away, its caller would come back later still.
+TEST_CASE("a request past its SLO is served where a slot is free") {
+  // Its first target refused it and its time to SLO has passed. It delays no
+  // other request; if it were refused, its caller would retry even later.
   SelectorFixture fixture(3);
   fixture.selector.SetRemoteLoads(
       {{"t0", {5, 0}}, {"t1", {5, 0}}, {"t2", {5, 0}}}, 0, kStart);
@@ -162,9 +165,9 @@
 }
 
 TEST_CASE("the time of a plain service is learned") {
-  // A service that answers in 6 ms was taken for one of 30 ms or more, so that
-  // callers with an aim of 40 ms were turned away from a server with two
-  // requests in its queue.
+  // A service that answers in 6 ms was predicted at 30 ms or more, so that
+  // requests with an SLO of 40 ms were refused at a server with two queued
+  // requests.
   TargetSelector selector(LookAtAll(), 1);
   auto targets = MakeTargets(1, "");
   targets.front().slots = 1;
@@ -228,7 +231,7 @@
         fixture.selector.OnSent(choice->target.id, query.prompt_tokens);
         FakeEngine& chosen = engines[index];
         if (chosen.waiting.empty() && chosen.running.empty()) {
-          // An engine that idled begins now.
+          // An idle engine begins its next pass now.
           chosen.next = arrival;
         }
         chosen.waiting.push_back({number, arrival, 714, 174});
@@ -260,8 +263,8 @@
   }
 }
 
-/// Many hosts place requests by loads that were told a while ago. The largest
-/// part of the requests of one interval that a single target got.
+/// 30 hosts each place one request by the same outdated loads. Returns the
+/// largest fraction of the requests that a single target received.
 double LargestShare(size_t candidates) {
   constexpr int kHosts = 30;
   constexpr int kTargets = 10;
@@ -273,7 +276,7 @@
         std::make_unique<TargetSelector>(policy, static_cast<uint64_t>(host)));
     boards.back()->SetTargets(MakeTargets(kTargets, "m"), MakeCatalog(),
                               kStart);
-    // All hosts heard the same: one target is a little less busy.
+    // All hosts received the same loads; one target is slightly less loaded.
     std::map<std::string, TargetLoad, std::less<>> loads;
     for (int i = 0; i < kTargets; ++i) {
       loads["t" + std::to_string(i)] = {i == 4 ? 5 : 6, 0};
@@ -292,19 +295,19 @@
   return static_cast<double>(most) / kHosts;
 }
 
-TEST_CASE("hosts that heard the same loads do not all send to one target") {
-  // Thirty hosts place a request each before they hear of each other's. If
-  // each looks at all targets, the least busy one gets all thirty, and its
-  // callers wait while other targets idle.
+TEST_CASE("hosts with the same loads do not all send to one target") {
+  // 30 hosts place one request each before they hear of each other's. If each
+  // compares all targets, the least loaded one gets all 30, and its callers
+  // wait while other targets are idle.
   CHECK(LargestShare(100) == 1);
   CHECK(LargestShare(DispatchPolicy{}.candidates) < 0.5);
 }
 
-TEST_CASE("a burst over capacity: turning away keeps the rest on time") {
-  // Callers send twice what four groups can do for three seconds. Without a
-  // limit the queues at the groups make nearly everybody late, also well after
-  // the burst; with it, those who are taken are on time and the others are
-  // told at once.
+TEST_CASE("a burst over capacity: refusals keep accepted requests on time") {
+  // Callers send twice the capacity of four groups for 3 s. Without a limit the
+  // queues at the groups make nearly all requests late, also well after the
+  // burst; with it, accepted requests are on time and the others are refused at
+  // once.
   DispatchPolicy open;
   open.slo_factor = 1000;
   open.saturated_slo_factor = 1000;
@@ -317,9 +320,9 @@
                         << " without");
 }
 
-TEST_CASE("a request that would be refused is offered to more targets") {
-  // Three of twenty groups have room. A caller whose draw of three missed them
-  // was turned away though it could have been answered in time.
+TEST_CASE("more targets are examined before a request is refused") {
+  // Three of 20 groups have capacity. A request whose random draw of three
+  // missed them was refused although it could have been answered in time.
   DispatchPolicy drawn;
   drawn.looks_wider = false;
   const auto refused = [](DispatchPolicy policy) {
@@ -340,9 +343,9 @@
   CHECK(refused(DispatchPolicy{}) == 0);
 }
 
-TEST_CASE("pressure tells what is asked of a model, refusals included") {
-  // A model whose slots are all taken looks the same whether callers are turned
-  // away or not; the planner has to tell the two apart.
+TEST_CASE("pressure is the demand for a model, including refusals") {
+  // The slots of a model can be fully taken with or without refusals; the
+  // planner must distinguish the two.
   SelectorFixture fixture(2);
   CHECK_FALSE(fixture.selector.Pressure("llm", "other", kStart).has_value());
   CHECK(*fixture.selector.Pressure("llm", "m", kStart) == 0);
@@ -359,8 +362,8 @@
         doctest::Approx(1));
 }
 
-/// Requests that 70 hosts take at once for 40 targets of 17 slots, each host
-/// 20 of them, before any has heard of another's work.
+/// Number of requests accepted when each of 70 hosts gets 20 requests at once
+/// for 40 targets of 17 slots, before any host has heard of another's load.
 int TakenAfterStart(size_t unreported_hosts) {
   int taken = 0;
   for (uint64_t host = 0; host < 70; ++host) {
@@ -380,9 +383,9 @@
 
 TEST_CASE(
     "a start of the whole fleet: hosts that heard nobody do not take all") {
-  // All hosts lost power. Callers that were turned away come back within a
-  // second, twice what the groups can hold, and each host sees idle groups.
-  // Taken all, everyone's first event is seconds late.
+  // After a power loss of all hosts, callers retry within a second with twice
+  // as many requests as the groups have slots, and each host sees idle groups.
+  // If all were accepted, every first event would be seconds late.
   TargetSelector knows_all(DispatchPolicy{}, 1);
   knows_all.SetTargets(MakeTargets(40, "m"), MakeCatalog(), kStart);
   int known = 0;
@@ -401,10 +404,11 @@
   CHECK(assumed > known * 3 / 4);
 }
 
-TEST_CASE("idle connections leave room for requests that open their own") {
-  // Four servers accept 110 connections each from 70 entry hosts. Every host
-  // serves a request now and then and would keep its connection; together they
-  // take all there are, and a request that runs at most once meets a reset.
+TEST_CASE("idle connections leave capacity for new connections") {
+  // Four servers accept 110 connections each from 70 entry hosts. If every host
+  // kept the connection of an occasional request, the idle ones together would
+  // use up the limit, and a request that must run at most once would get a
+  // connection reset.
   for (const size_t hosts : {1U, 6U, 7U, 70U, 78U, 330U}) {
     for (const int most : {0, 48, 110, 260, 660}) {
       const size_t kept = KeptConnections(most, hosts) * hosts;
--- a/tests/fake_engine.h
+++ b/tests/fake_engine.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// An engine for replays of load, in time that the test moves on.
+/// Simulated inference engine for load replays. The test advances the time.
 
 #include <algorithm>
 #include <deque>
@@ -10,8 +10,9 @@
 
 namespace filbertrack {
 
-/// An engine as its profile says: slots, prompts read a chunk a pass in the
-/// order of arrival, `stride` tokens a pass for each request that writes.
+/// An engine that behaves as its profile states: prompts are processed in order
+/// of arrival, one chunk per pass, and each generating request gets `stride`
+/// tokens per pass.
 struct FakeEngine {
   struct Request {
     int number;
@@ -21,7 +22,8 @@
     bool began = false;
   };
 
-  /// One pass from `now`; tells first events and ends. Returns its length.
+  /// Runs one pass from `now`. Calls `first` for each first event and `end` for
+  /// each completed request. Returns the length of the pass.
   template <typename First, typename End>
   Duration Pass(TimePoint now, First first, End end) {
     while (running.size() < slots && !waiting.empty()) {
@@ -62,11 +64,11 @@
     return std::max(done - now, Duration(1000));
   }
 
-  /// Requests that run now and that wait.
+  /// Number of running and waiting requests.
   size_t size() const { return running.size() + waiting.size(); }
 
   size_t slots = 17;
-  /// Tokens that each writing request gets in a pass.
+  /// Tokens that each generating request gets per pass.
   int stride = 5;
   std::deque<Request> waiting;
   std::vector<Request> running;
