--- a/include/filbertrack/backpressure_cold.h
+++ b/include/filbertrack/backpressure_cold.h
@@ -1,13 +1,15 @@
 #pragma once
 
-/// Paces requests to backend servers that are cold: they bear few requests a
-/// second until they have warmed up, and end under well more.
+/// Limits the rate of requests to cold backend servers. A cold server sustains
+/// only a few requests per second until it has warmed up, and terminates under
+/// substantially more.
 ///
-/// The load that it is made for: all servers of a data centre turn cold at one
-/// moment while a burst waits for places. Their places are free, so every entry
-/// host would choose them. A few hosts each hold a part of what the server
-/// bears, and none saves it up, so that no second holds more requests than it
-/// bears whatever the hosts know of each other.
+/// The critical case is that all servers of a data centre turn cold at once
+/// while a burst of requests waits for free slots: the slots of the cold
+/// servers are free, so every entry host would choose them. A few entry hosts
+/// each hold a share of the server's rate, and no host accumulates unused rate,
+/// so the requests of any second stay within that rate whatever the hosts know
+/// of each other.
 
 #include <map>
 #include <optional>
@@ -22,8 +24,9 @@
 
 struct ColdState {
   ServerInstance server;
-  /// Requests a second that it bears, from all entry hosts together.
+  /// Requests per second that it sustains, from all entry hosts together.
   double per_second = 0;
+  /// When the server will be warm.
   TimePoint until;
 };
 
@@ -32,19 +35,22 @@
   /// `own` is the name of this entry host.
   explicit ColdServers(std::string own) : m_own(std::move(own)) {}
 
-  /// `hosts` are all entry hosts with this one, each once. A server that was
-  /// cold already keeps what it was sent; a later word replaces its end. True
-  /// if it was not known to be cold.
+  /// Records that a server is cold. `hosts` are all entry hosts including this
+  /// one, without duplicates. For a server that is known to be cold, `until` is
+  /// replaced and its bucket keeps its tokens. True if it was not known to be
+  /// cold.
   bool OnCold(const ColdState& state,
               std::span<const std::string> hosts,
               TimePoint now);
 
-  /// Other entry hosts than before share what the servers bear.
+  /// The set of entry hosts changed: recomputes this host's shares.
   void SetHosts(std::span<const std::string> hosts, TimePoint now);
 
+  /// Drops servers that are warm by now.
   void ForgetOld(TimePoint now);
 
-  /// How long until this host may send a request; 0: now, or it is not cold.
+  /// How long until this host may send a request to the server; 0 if it may now
+  /// or the server is not cold.
   Duration UntilSend(const ServerInstance& server, TimePoint now) const;
   void OnSent(const ServerInstance& server, TimePoint now);
 
@@ -55,10 +61,10 @@
   struct ColdServer {
     double per_second = 0;
     TimePoint until;
-    /// nullopt: this host holds no part.
+    /// nullopt: this host holds no share.
     std::optional<TokenBucket> bucket;
   };
-  /// Gives this host its part of what the server bears.
+  /// Sets the bucket of `cold` to this host's share of the server's rate.
   void AssignShare(const ServerInstance& server,
                    ColdServer& cold,
                    std::span<const std::string> hosts,
--- a/include/filbertrack/backpressure_limits.h
+++ b/include/filbertrack/backpressure_limits.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The rate limits that backend servers name in their answers, as this entry
-/// host was told of them by the servers and by other entry hosts.
+/// Stores the rate limits that backend servers name in their answers, as
+/// received from the servers and, by gossip, from other entry hosts.
 
 #include <cstddef>
 #include <cstdint>
@@ -14,35 +14,38 @@
 
 namespace filbertrack {
 
-/// What the head of one answer says of its server's limit.
+/// The limit that the header of one answer names for its server.
 struct LimitObservation {
   ServerInstance server;
-  /// Requests a second, from all entry hosts together; nullopt: none is named.
+  /// Requests per second, from all entry hosts together; nullopt: the answer
+  /// names no limit.
   std::optional<double> limit;
-  /// When the request was sent.
+  /// When the request of this answer was sent.
   TimePoint sent;
 };
 
-/// What is known of one server, for another entry host.
+/// The limit of one server as sent to another entry host.
 struct LimitRecord {
   ServerInstance server;
-  /// nullopt: it named a limit before, and does no more.
+  /// Requests per second; nullopt: the server named a limit before and names
+  /// none any more.
   std::optional<double> limit;
-  /// Time since the server said so.
+  /// Time since the server last named it.
   Duration age{0};
 };
 
-/// Words for another entry host.
+/// Limit records for another entry host.
 struct LimitUpdate {
-  /// The teller's words up to this revision are told with these.
+  /// With `words`, the receiver has the sender's records up to this revision.
   uint64_t revision = 0;
   std::vector<LimitRecord> words;
 };
 
 struct LimitPolicy {
-  /// A limit that no answer named for this long is forgotten.
+  /// How long a limit is kept after an answer last named it.
   Duration limit_ttl = Seconds(600);
-  /// The end of a limit is remembered against late news of the limit.
+  /// How long the end of a limit is kept, so that a delayed record of the limit
+  /// does not restore it.
   Duration tombstone_ttl = Seconds(60);
   size_t max_records_per_message = 256;
   size_t max_records = 4096;
@@ -50,40 +53,42 @@
 
 class LimitLedger {
  public:
-  /// Revisions begin above `first_revision`: random, so that a host that starts
-  /// again is not taken for the one before.
+  /// Revisions begin above `first_revision`, which should be random: peers then
+  /// do not mistake the revisions of a restarted host for earlier ones.
   LimitLedger(LimitPolicy policy, uint64_t first_revision)
       : m_policy(policy), m_revision(first_revision) {}
 
-  /// True if the limit of the server changed. An answer without a limit counts
-  /// only if its request was sent after the limit was last named: answers on
-  /// different connections may overtake each other.
+  /// True if the limit of the server changed. An answer without a limit removes
+  /// the limit only if its request was sent after the limit was last named,
+  /// because answers on different connections may arrive out of order.
   bool OnAnswer(const LimitObservation& observation, TimePoint now);
 
-  /// A word of another entry host; true if the limit of the server changed.
+  /// Merges a record of another entry host unless the stored one is more
+  /// recent. True if the limit of the server changed.
   bool OnPeerUpdate(const LimitRecord& record, TimePoint now);
 
-  /// Requests a second; nullopt: the server names no limit.
+  /// Requests per second; nullopt: the server names no limit.
   std::optional<double> LimitOf(const ServerInstance& server) const;
 
-  /// Servers that name a limit.
+  /// The servers that name a limit.
   std::vector<ServerInstance> LimitedServers() const;
 
-  /// Drops words that are old, and the oldest above the bound. True if there
-  /// were any.
+  /// Drops records that have expired and, above max_records, the oldest ones.
+  /// True if any was dropped.
   bool ForgetOld(TimePoint now);
 
   uint64_t revision() const { return m_revision; }
-  /// Words that came after `known`, a revision of this ledger; all of them
-  /// where it is none.
+  /// Records changed after revision `known`, oldest first, at most
+  /// max_records_per_message. All records count as changed if `known` is higher
+  /// than the current revision, as after a restart of this host.
   LimitUpdate Since(uint64_t known, TimePoint now) const;
 
  private:
   struct StoredLimit {
     std::optional<double> limit;
-    /// When the server last said so.
+    /// When the server last named it.
     TimePoint at;
-    /// `at` as other entry hosts were told.
+    /// The value of `at` that was last advertised to other entry hosts.
     TimePoint advertised_at;
     uint64_t revision = 0;
   };
--- a/include/filbertrack/backpressure_rest.h
+++ b/include/filbertrack/backpressure_rest.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Backend servers that want no requests: for a time from this entry host, or
-/// for good because they leave.
+/// Backend servers that accept no requests: from this entry host for a back-off
+/// time, or from any host because they are shutting down.
 ///
-/// The load that it is made for: a server in need refuses whatever reaches it,
-/// and every request that goes there first is late by a way there and back and
-/// costs a retry. How long that lasts is for the server to say.
+/// An overloaded server refuses every request that reaches it, and each request
+/// sent there first is delayed by a round trip and costs a retry. The server
+/// determines how long to back off.
 
 #include <map>
 #include <optional>
@@ -16,8 +16,8 @@
 namespace filbertrack {
 
 struct UnavailablePolicy {
-  /// A server that leaves is remembered for so long after it last said so:
-  /// longer than any takes to end.
+  /// How long a server that is shutting down is remembered after it last
+  /// announced that: longer than any shutdown takes.
   Duration leaving_ttl = Seconds(600);
 };
 
@@ -25,12 +25,13 @@
  public:
   explicit UnavailableServers(UnavailablePolicy policy) : m_policy(policy) {}
 
-  /// The server refused a request of this host and wants none for so long.
+  /// The server refused a request of this host and asked for none during
+  /// `backoff`. A shorter back-off does not end a longer one.
   void OnBackoff(const ServerInstance& server, Duration backoff, TimePoint now);
-  /// True where it was not known.
+  /// The server announced its shutdown. True if that was not known.
   bool OnLeaving(const ServerInstance& server, TimePoint now);
 
-  /// When the server asked for rest, how long it still lasts; 0: it is over.
+  /// How long the back-off of the server still lasts; 0: it has none.
   Duration RemainingBackoff(const ServerInstance& server, TimePoint now) const;
   bool IsLeaving(const ServerInstance& server) const {
     return m_leaving.contains(server);
@@ -39,13 +40,14 @@
   size_t CountLeaving() const { return m_leaving.size(); }
   bool IsEmpty() const { return m_backoff.empty() && m_leaving.empty(); }
 
+  /// Drops back-offs that are over and shutdowns older than leaving_ttl.
   void ForgetOld(TimePoint now);
 
  private:
   UnavailablePolicy m_policy;
-  /// Until when.
+  /// End of the back-off of each server.
   std::map<ServerInstance, TimePoint> m_backoff;
-  /// When it last said so.
+  /// When each server last announced its shutdown.
   std::map<ServerInstance, TimePoint> m_leaving;
 };
 
--- a/include/filbertrack/backpressure_share.h
+++ b/include/filbertrack/backpressure_share.h
@@ -2,11 +2,11 @@
 
 /// Divides the rate limit of a backend server over the entry hosts.
 ///
-/// The load that it is made for: a server that names a limit is the emptiest of
-/// its model soon after, so all entry hosts would send to it at once, each
-/// within a limit of its own. Each of a few hosts holds a part of the rate, so
-/// that parts add up to the limit however many hosts there are and whatever
-/// they know of each other's requests.
+/// A server that names a limit soon has the fewest requests of all servers of
+/// its model, so every entry host would choose it at once: each would stay
+/// within the limit, and all together far exceed it. Instead a few hosts each
+/// hold a share of the rate. The shares add up to the limit however many hosts
+/// there are and whatever they know of each other's requests.
 
 #include <optional>
 #include <span>
@@ -18,31 +18,33 @@
 
 namespace filbertrack {
 
-/// One entry host's part of a limit.
+/// One entry host's share of a limit.
 struct RateShare {
-  /// Requests a second; 0: this host holds no part.
+  /// Requests per second; 0: this host holds no share.
   double per_second = 0;
-  /// Requests that may be sent at once after a pause.
+  /// Requests that may be sent at once after an idle time.
   double burst = 0;
 };
 
-/// All hosts together may send at once what the limit allows in a second, and
-/// three requests more. Hosts are chosen by rendezvous hashing, so many that
-/// each may send at least one request at once. `hosts` are all entry hosts with
-/// `own`, each once.
+/// The share of `own` in the limit of `server`. The bursts of all hosts
+/// together are one second of the limit plus three requests. The hosts that
+/// hold a share are chosen by rendezvous hashing, and are as many as can each
+/// have a burst of at least one request. `hosts` are all entry hosts including
+/// `own`, without duplicates.
 RateShare ShareOfLimit(double limit_per_second,
                        std::string_view server,
                        std::string_view own,
                        std::span<const std::string> hosts);
 
-/// Gives `pace` the part: nullopt where this host holds none, a bucket without
-/// a token where it had none before, since all holders begin at one moment.
+/// Applies `share` to `bucket`. It becomes nullopt if the share is 0. A new
+/// bucket starts empty, because all holders start at the same moment.
 void SetBucket(std::optional<TokenBucket>& bucket,
                const RateShare& share,
                TimePoint now);
 
-/// One entry host's part of what a cold server bears, so that all hosts
-/// together send no more than that in any second, the first one included.
+/// The share of `own` in the rate that a cold server sustains. All hosts
+/// together send no more than `capacity_per_second` requests in any second,
+/// including the first.
 RateShare ShareOfColdServer(double capacity_per_second,
                             std::string_view server,
                             std::string_view own,
--- a/source/backpressure.cc
+++ b/source/backpressure.cc
@@ -91,10 +91,11 @@
 std::optional<Duration> Backpressure::UntilSend(const ServerInstance& server,
                                                 TimePoint now) const {
   if (m_unavailable.IsLeaving(server)) {
-    // The store may tell it seconds later, or never.
+    // The store may report the shutdown seconds later, or never.
     return std::nullopt;
   }
-  // Streams that began before and end well do not tell that a rest is over.
+  // A successful answer to an earlier request does not end the back-off, since
+  // streams that began before it may complete during it.
   const Duration backoff = std::max(m_unavailable.RemainingBackoff(server, now),
                                     m_cold.UntilSend(server, now));
   const auto found = m_buckets.find(server);
@@ -110,7 +111,8 @@
   m_cold.OnSent(server, now);
   const auto found = m_buckets.find(server);
   if (found != m_buckets.end() && found->second) {
-    // Without a token where the request was chosen just before the limit came.
+    // The bucket may be empty if the server was chosen just before its limit
+    // was received.
     found->second->TryTake(now);
   }
 }
--- a/source/backpressure_cold.cc
+++ b/source/backpressure_cold.cc
@@ -46,7 +46,7 @@
     return Duration(0);
   }
   const ColdServer& cold = found->second;
-  // It is warm before a host without a part, or with a small one, may send.
+  // A host with no share, or a small one, may send once the server is warm.
   const Duration left = cold.until - now;
   return cold.bucket ? std::min(left, cold.bucket->UntilNext(now)) : left;
 }
--- a/source/backpressure_limits.cc
+++ b/source/backpressure_limits.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Times that a limit which lasts is told again within its life.
+/// How often an unchanged limit is advertised again within limit_ttl.
 constexpr int kAdvertisementsPerTtl = 4;
 
 }  // namespace
@@ -19,8 +19,8 @@
 
 void LimitLedger::Refresh(StoredLimit& record, TimePoint at) {
   record.at = std::max(record.at, at);
-  // Not each time: a word is told again so rarely that its way through all
-  // entry hosts takes less.
+  // Advertising each confirmation would keep the record circulating; the
+  // interval is longer than a record takes to reach all entry hosts.
   if (at > record.advertised_at + m_policy.limit_ttl / kAdvertisementsPerTtl) {
     record.advertised_at = at;
     record.revision = ++m_revision;
--- a/source/backpressure_share.cc
+++ b/source/backpressure_share.cc
@@ -9,22 +9,23 @@
 
 namespace {
 
-/// Requests at once beyond a second of the limit.
+/// Requests that may be sent at once in addition to one second of the limit.
 constexpr double kBurstRequests = 3;
-/// A server that names a lower limit gets this many requests a second: without
-/// any answer nobody would learn that the limit has ended.
+/// A lower limit is raised to this many requests per second: without answers
+/// from the server, no host would learn that the limit has ended.
 constexpr double kMinPerSecond = 0.2;
 
-/// Part of what a cold server bears in a second that its holders may send at
-/// the same moment; the rest is their rate after that.
+/// Fraction of a cold server's requests per second that the holders may send at
+/// the same moment. Their sustained rate takes the remainder.
 constexpr double kColdBurstPart = 1.0 / 3;
-/// Requests sent over this many seconds may arrive within one.
+/// Requests sent over this many seconds may arrive within one second.
 constexpr double kColdWindowSeconds = 1.1;
-/// Of a server that bears hardly one request a second, at least this part is
-/// used.
+/// Minimum sustained rate as a fraction of the server's requests per second,
+/// for servers that sustain hardly one.
 constexpr double kMinColdPart = 0.5;
 
-/// Whether `own` is among the hosts, so many of them, that hold a part.
+/// Whether `own` is among the `holders` hosts with the highest rendezvous
+/// weight for `server`, which hold a share.
 bool HoldsShare(double holders,
                 std::string_view server,
                 std::string_view own,
--- a/tests/backpressure_cold_test.cc
+++ b/tests/backpressure_cold_test.cc
@@ -7,13 +7,13 @@
 #include "backpressure_fixture.h"
 #include "filbertrack/backpressure.h"
 
-/// Servers that are cold, and what all entry hosts together send them.
+/// Cold servers, and the rate at which all entry hosts together send to them.
 
 namespace filbertrack {
 namespace {
 
-/// Entry hosts over servers that all turn cold at one moment, while callers
-/// bring more than the servers bear.
+/// Simulates entry hosts whose servers all turn cold at once while callers send
+/// more requests than the servers sustain.
 struct ColdFleet {
   static constexpr double kCapacityPerSecond = 26;
   static constexpr Duration kTick = Milliseconds(2);
@@ -42,8 +42,9 @@
     }
   }
 
-  /// Each host hears of the cold servers some time within `learns`, and sends
-  /// nothing before; `per_turn` requests come in each turn.
+  /// Each host learns of the cold servers at a random time within
+  /// `learn_window` and sends nothing before. `per_tick` requests arrive in
+  /// each tick.
   void RunUntilWarm(size_t per_tick, Duration learn_window) {
     std::vector<TimePoint> informed_at;
     for (size_t i = 0; i < hosts.size(); ++i) {
@@ -59,7 +60,7 @@
         }
       }
       if (random() % 200 == 0) {
-        // A host starts again and is told anew.
+        // A host restarts and is informed again.
         const size_t i = random() % hosts.size();
         hosts[i] = MakeHost(i);
         ReportCold(i);
@@ -71,7 +72,7 @@
     }
   }
 
-  /// A caller that is refused comes back once, at another entry host.
+  /// A caller that is refused retries once, at another entry host.
   void SendOne(const std::vector<bool>& informed) {
     if (!TrySend(informed)) {
       TrySend(informed);
@@ -122,23 +123,25 @@
   std::mt19937_64 random;
 };
 
-TEST_CASE("a data centre that turns cold gets no more than it bears") {
-  // Guards against a burst that waits for places and ends every cold server in
-  // its first second, whatever the size of the fleet.
+TEST_CASE("a cold data centre gets no more than it sustains") {
+  // Guards against a burst waiting for slots that overloads and terminates
+  // every cold server within its first second, for any fleet size.
   for (const size_t count : {size_t{7}, size_t{82}, size_t{300}}) {
     ColdFleet fleet(count, 57);
     fleet.RunUntilWarm(4, Milliseconds(300));
     CAPTURE(count);
     CHECK(static_cast<double>(fleet.MaxInSecond()) <=
           ColdFleet::kCapacityPerSecond);
-    // Cold servers warm up by use, so most of what they bear is used.
+    // Cold servers warm up by serving requests, so most of their rate must be
+    // used.
     CHECK(static_cast<double>(fleet.Total()) >
           0.4 * 57 * ColdFleet::kCapacityPerSecond * 3);
   }
 }
 
 TEST_CASE(
-    "a cold server is warm at its end, and its next process is not cold") {
+    "a cold server is warm after its cold time, and a new process is not "
+    "cold") {
   Backpressure host("e0", {}, 1);
   const TimePoint now = kStart;
   CHECK(host.OnCold({{"s", 1}, 2, now + Seconds(3)}, now));
--- a/tests/backpressure_cost.cc
+++ b/tests/backpressure_cost.cc
@@ -1,5 +1,5 @@
-/// Prints what limits that servers name cost an entry host of a large fleet
-/// where every server names one.
+/// Benchmark, not a test: prints the cost of rate limits to an entry host of a
+/// large fleet in which every server names one.
 
 #include <ctime>
 
@@ -17,7 +17,7 @@
 constexpr int kHosts = 330;
 constexpr int kServers = 3300;
 
-/// Processor time of the action, a round.
+/// Processor time per round of `action`, in microseconds.
 template <typename Action>
 double MicrosecondsOf(int rounds, Action action) {
   const std::clock_t begin = std::clock();
@@ -45,21 +45,19 @@
     state.OnAnswer({servers.back(), 2.5, now}, now);
   }
   size_t sum = 0;
-  std::printf("round without a change of the fleet: %.1f us\n",
+  std::printf("SetFleet, hosts unchanged: %.1f us\n",
               MicrosecondsOf(200, [&] { state.SetFleet(hosts, now); }));
-  std::printf("round in which a host is new: %.0f us\n",
-              MicrosecondsOf(20, [&] {
+  std::printf("SetFleet, one host added: %.0f us\n", MicrosecondsOf(20, [&] {
                 hosts.push_back("new-" + std::to_string(hosts.size()));
                 state.SetFleet(hosts, now);
               }));
-  std::printf("whether one server takes a request: %.2f us\n",
-              MicrosecondsOf(100000, [&] {
+  std::printf("MaySend, per server: %.2f us\n", MicrosecondsOf(100000, [&] {
                 sum += state.MaySend(servers[sum % kServers], now) ? 2U : 1U;
               }));
   GossipReply answer;
   const size_t at_rest = EncodeGossipReply(answer).size();
   answer.limits = state.Since(0, now);
-  std::printf("words in one answer: %zu, bytes each: %.0f\n",
+  std::printf("limit records per gossip reply: %zu, bytes each: %.0f\n",
               answer.limits.words.size(),
               static_cast<double>(EncodeGossipReply(answer).size() - at_rest) /
                   static_cast<double>(answer.limits.words.size()));
--- a/tests/backpressure_fixture.h
+++ b/tests/backpressure_fixture.h
@@ -1,7 +1,6 @@
 #pragma once
 
-/// The beginning of time and the names of entry hosts, for tests of what
-/// servers ask for.
+/// Start time and names of entry hosts for the tests of backpressure.
 
 #include <string>
 #include <vector>
--- a/tests/backpressure_test.cc
+++ b/tests/backpressure_test.cc
@@ -14,7 +14,7 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("parts of a limit add up to the limit") {
+TEST_CASE("shares of a limit add up to the limit") {
   CHECK(rc::check([] {
     const auto hosts = HostNames(*rc::gen::inRange<size_t>(1, 400));
     const double limit = *rc::gen::inRange(2, 2000) / 10.0;
@@ -31,17 +31,17 @@
   }));
 }
 
-TEST_CASE("a server that takes nothing is still asked now and then") {
+TEST_CASE("a server with a limit of 0 still gets occasional requests") {
   const std::vector<std::string> alone{"e0"};
   CHECK(ShareOfLimit(0, "s", "e0", alone).per_second > 0);
 }
 
-/// Says that `server` named `limit` in an answer to a request sent at `sent`.
+/// An answer of server "s" that names `limit`, to a request sent at `sent`.
 LimitObservation ObserveLimit(std::optional<double> limit, TimePoint sent) {
   return {{"s", 0}, limit, sent};
 }
 
-TEST_CASE("an answer that was overtaken does not lift a limit") {
+TEST_CASE("an answer that arrives out of order does not remove a limit") {
   LimitLedger ledger({}, 0);
   CHECK(ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1)));
   CHECK_FALSE(ledger.OnAnswer(ObserveLimit({}, kStart), kStart + Seconds(2)));
@@ -51,14 +51,14 @@
   CHECK_FALSE(ledger.LimitOf({"s", 0}).has_value());
 }
 
-TEST_CASE("a server that starts again under its name has no limit") {
+TEST_CASE("a restarted server has no limit") {
   LimitLedger ledger({}, 0);
   ledger.OnAnswer({{"s", 1}, 2, kStart}, kStart);
   CHECK(ledger.LimitOf({"s", 1}).has_value());
   CHECK_FALSE(ledger.LimitOf({"s", 2}).has_value());
 }
 
-/// Passes on what `to` lacks of `from`, `age` older.
+/// Sends `to` the records of `from` that are newer than revision `known`.
 void SendUpdate(const LimitLedger& from,
                 LimitLedger& to,
                 TimePoint now,
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_CASE("late news of a limit does not bring it back") {
+TEST_CASE("a delayed record of a limit does not restore it") {
   LimitLedger first({}, 0);
   LimitLedger second({}, 0);
   LimitLedger third({}, 0);
@@ -83,7 +83,7 @@
   CHECK_FALSE(second.LimitOf({"s", 0}).has_value());
 }
 
-TEST_CASE("a host that knows all words is told none") {
+TEST_CASE("a host that has all records is sent none") {
   LimitLedger ledger({}, 500);
   ledger.OnAnswer(ObserveLimit(2, kStart), kStart);
   const LimitUpdate update = ledger.Since(0, kStart);
@@ -91,11 +91,11 @@
   CHECK(ledger.Since(update.revision, kStart).words.empty());
   ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1));
   CHECK(ledger.Since(update.revision, kStart).words.empty());
-  // Told by an earlier process of the host.
+  // A revision of an earlier process of the host.
   CHECK(ledger.Since(9000, kStart).words.size() == 1);
 }
 
-TEST_CASE("a limit that lasts is told again, and passed on once") {
+TEST_CASE("a lasting limit is advertised again, and forwarded once") {
   const LimitPolicy policy;
   LimitLedger first(policy, 0);
   LimitLedger second(policy, 0);
@@ -114,17 +114,20 @@
   CHECK(second.LimitOf({"s", 0}).has_value());
 }
 
-/// A fleet of entry hosts that send to servers of one model, each request to
-/// the emptiest of three that may be sent to. News takes a while to all hosts.
+/// Simulates a fleet of entry hosts that send to servers of one model, each
+/// request to the least loaded of three eligible servers. Limits reach the
+/// other hosts with a delay.
 class Replay {
  public:
   struct Load {
     size_t hosts = 6;
     size_t servers = 12;
     double requests_per_second = 60;
-    /// Servers that name a limit, and which.
+    /// Number of servers that name a limit, and the limit in requests per
+    /// second.
     size_t limited = 2;
     double limit = 2;
+    /// Delay until a limit reaches the other hosts.
     Duration update_delay = Milliseconds(400);
   };
 
@@ -137,7 +140,8 @@
     m_open.resize(load.servers, 0);
   }
 
-  /// Runs from `begin` to `end` after the start, with limits named or not.
+  /// Runs from `begin` to `end` after the start. `names_limit`: whether the
+  /// limited servers name their limit.
   void Run(Duration begin, Duration end, bool names_limit) {
     std::exponential_distribution<double> gap(m_load.requests_per_second);
     for (TimePoint now = kStart + begin; now < kStart + end;
@@ -147,8 +151,8 @@
     }
   }
 
-  /// The host's process starts again and knows nothing; it has the words of
-  /// another host a round of news later.
+  /// Restarts the host without any state. It receives the records of another
+  /// host after one update delay.
   void Restart(size_t index, TimePoint now) {
     const auto names = HostNames(m_load.hosts);
     m_hosts[index] = Backpressure(names[index], {}, ++m_starts * 1000);
@@ -162,10 +166,10 @@
     }
   }
 
-  /// Which arrivals count: all, or those of hosts that had passed on the limit
-  /// half a second before or earlier.
+  /// Which arrivals count: all, or only those from hosts that had received the
+  /// limit of the server at least 500 ms before.
   enum class Counted { kAll, kReported };
-  /// The most that came to a limited server in any four seconds from `from` on.
+  /// Maximum number of arrivals at a limited server in any 4 s after `from`.
   size_t MaxArrivals(Duration from, Counted counted) const {
     size_t most = 0;
     for (size_t server = 0; server < m_load.limited; ++server) {
@@ -272,7 +276,7 @@
   std::mt19937_64 m_random{7};
   std::vector<Backpressure> m_hosts;
   std::vector<std::vector<Arrival>> m_arrivals;
-  /// When each host first passed on an answer with the limit of each server.
+  /// When each host first received an answer with the limit of each server.
   std::map<std::pair<size_t, size_t>, TimePoint> m_first_reported;
   std::vector<int> m_open;
   std::deque<PendingUpdate> m_gossip;
@@ -281,12 +285,12 @@
   uint64_t m_starts = 0;
 };
 
-/// What the platform allows of a limit in four seconds.
+/// Maximum number of requests that the platform accepts in 4 s at a limit.
 size_t MaxInWindow(double limit) {
   return static_cast<size_t>(1.5 * limit * 4 + 5);
 }
 
-TEST_CASE("a limited server is the emptiest, and gets no more than it takes") {
+TEST_CASE("a limited server is the least loaded, and its limit holds") {
   for (const size_t hosts : {1, 2, 6, 40, 195}) {
     for (const double limit : {0.3, 1.7, 6.0}) {
       Replay::Load load;
@@ -327,9 +331,9 @@
   }
 }
 
-TEST_CASE("where all servers name a limit, most of it is used") {
-  // Callers that are refused while servers would take them are refused for
-  // nothing.
+TEST_CASE("if all servers name a limit, most of it is used") {
+  // Guards against refusing callers while the limits of the servers are not
+  // used up.
   for (const size_t hosts : {6, 40}) {
     Replay::Load load;
     load.hosts = hosts;
@@ -347,7 +351,7 @@
   }
 }
 
-TEST_CASE("after the end of a limit the server gets its part again") {
+TEST_CASE("after the end of a limit the server gets its usual load again") {
   Replay::Load load;
   Replay replay(load);
   replay.Run(Duration(0), Seconds(20), true);
@@ -357,7 +361,7 @@
         expected * 0.8);
 }
 
-TEST_CASE("a host that does not hear the others does not take their parts") {
+TEST_CASE("a host that hears no others does not take their shares") {
   Replay::Load load;
   Replay replay(load);
   replay.Run(Duration(0), Seconds(2), true);
@@ -383,17 +387,17 @@
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2999)));
   CHECK(host.UntilSend(server, kStart + Seconds(1)) == Seconds(2));
   CHECK(host.MaySend(server, kStart + Seconds(3)));
-  // A shorter one that comes later does not end the longer one.
+  // A later, shorter back-off does not end a longer one.
   host.OnBackoff(server, Seconds(1), kStart + Seconds(1));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
-  // An answer without a limit is no sign that the rest is over.
+  // An answer without a limit does not end the back-off.
   host.OnAnswer(ObserveLimit({}, kStart + Seconds(1)), kStart + Seconds(2));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
   host.SetFleet({}, kStart + Seconds(4));
   CHECK(host.IsIdle());
 }
 
-TEST_CASE("rest and a limit both hold") {
+TEST_CASE("a back-off and a limit both apply") {
   Backpressure host("e0", {}, 0);
   const ServerInstance server{"s", 0};
   host.OnAnswer(ObserveLimit(1, kStart), kStart);
@@ -403,7 +407,7 @@
   CHECK(host.UntilSend(server, kStart) == Seconds(5));
 }
 
-TEST_CASE("a server that leaves gets nothing more, and its next process does") {
+TEST_CASE("a server that shuts down gets no requests, a new process does") {
   Backpressure host("e0", {}, 0);
   CHECK(host.OnLeaving({"s", 1}, kStart));
   CHECK_FALSE(host.OnLeaving({"s", 1}, kStart + Seconds(1)));
