--- a/include/filbertrack/groups_assign.h
+++ b/include/filbertrack/groups_assign.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Spreads the replicas of serving groups over fabric domains. Every controller
-/// computes the same from the same objects; a moment's disagreement forms or
-/// drains a replica too many, and never breaks a rule of safety, which each
-/// domain's own object keeps.
+/// Distributes the replicas of serving groups over fabric domains. Controllers
+/// that read the same objects compute the same assignment. While their views
+/// differ, one replica too many may be formed or drained. Safety does not
+/// depend on agreement: each domain's own object enforces it.
 
 #include <map>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace filbertrack {
 
-/// A domain as its stored objects tell of it.
+/// Hosts and state of a domain, as stored.
 struct DomainSummary {
   DomainHosts hosts;
   DomainState state;
@@ -22,19 +22,22 @@
 
 using DomainSummaries = std::map<std::string, DomainSummary, std::less<>>;
 
-/// Wanted replicas by domain and serving group.
+/// Wanted number of replicas, by domain and serving group.
 using Assignment = std::map<std::string, std::map<std::string, int>>;
 
-/// Replicas that serve, load or drain for an update keep their place; missing
-/// ones go to the domain with the most free hosts. `downtime_weight` of the
-/// service decides whether a place is filled from hosts that the declaration
-/// keeps as spares: below one half it is.
+/// Replicas that serve, load or drain for an update stay in their domain;
+/// missing ones are assigned to the domain with the most free hosts, serving
+/// groups with the highest `downtime_weight` first. Only services with a
+/// `downtime_weight` below 0.5 use the hosts that the declaration reserves as
+/// spares for this. A broken replica that fits nowhere else stays assigned to
+/// its domain.
 Assignment AssignReplicas(const Resources& resources,
                           const DomainSummaries& domains);
 
-/// Serving groups whose replicas in `domain` may start a change of version:
-/// every other replica of the group serves, and no domain of a lower name
-/// still has one of the old version.
+/// Serving groups of which a replica in `domain` may start a version change:
+/// all replicas of the serving group are serving, and no domain earlier in name
+/// order still has a replica that differs from the declared version or
+/// adapters.
 std::vector<std::string> RolloutCandidates(const Resources& resources,
                                            const DomainSummaries& domains,
                                            std::string_view domain);
--- a/include/filbertrack/groups_plan.h
+++ b/include/filbertrack/groups_plan.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Decides what the holder of a fabric domain's lease does next: at most one
-/// change of the domain's state a pass, and the orders that bring the engines
-/// to the state as it is stored. Nothing is remembered between passes but what
-/// the state holds, so a successor carries on where a controller died.
+/// Planner for the lease holder of a fabric domain. Each pass yields at most
+/// one change of the domain's state, and the orders that bring the engines to
+/// the state as stored. Decisions are kept in the stored state only, so a
+/// successor continues where a failed controller stopped.
 
 #include <map>
 #include <optional>
@@ -20,39 +20,39 @@
 
 /// How a group that lost a member is repaired.
 enum class RepairPolicy {
-  /// Swap in a spare of the domain; the other members keep their weights.
+  /// Replace the member by a spare of the domain; the other members keep their
+  /// weights.
   kSwapMember,
-  /// Dissolve the group and form a new one: the simplest policy, kept as the
-  /// baseline for measurements.
+  /// Dissolve the group and form a new one; the baseline for measurements.
   kRebuildGroup,
 };
 
 struct PlanPolicy {
   RepairPolicy repair = RepairPolicy::kSwapMember;
-  /// Silence after which a member counts as lost.
+  /// Time without a heartbeat after which a member counts as lost.
   Duration lost_after = Milliseconds(900);
-  /// A host is used for a new place only after being seen for this long since
-  /// its last loss; a host that flaps costs one repair, not one a flap.
+  /// A host that was lost may join a group only after it has been alive for
+  /// this long, so that a flapping host causes one repair, not one per flap.
   Duration settle = Seconds(5);
-  /// Draining ends after this even if requests are still in flight.
+  /// Maximum duration of draining, even if requests are still in flight.
   Duration drain_limit = Seconds(120);
-  /// A draining group's members are kept at least this long, so that routers
-  /// that heard of it late have stopped sending.
+  /// Minimum duration of draining, so that routers that learn of it late have
+  /// stopped sending.
   Duration drain_floor = Seconds(2);
 };
 
-/// What this controller has seen of one host.
+/// A controller's observations of one host.
 struct HostView {
   MemberReport report;
   std::optional<TimePoint> alive_at;
-  /// Start of the present unbroken time of being alive.
+  /// Start of the current uninterrupted period of being alive.
   TimePoint alive_since;
   int losses = 0;
   bool was_alive = false;
 };
 
-/// Takes over what a host's standing response says now, and counts a loss when
-/// the host was alive and is no more.
+/// Updates `view` from a host's latest evidence. Counts a loss when a host that
+/// was alive no longer is, or when its engine has restarted.
 void ObserveHost(HostView& view,
                  const MemberEvidence& evidence,
                  const PlanPolicy& policy,
@@ -60,7 +60,7 @@
 
 using HostViews = std::map<std::string, HostView, std::less<>>;
 
-/// Null where the host was never seen.
+/// Null if the host has never been observed.
 const HostView* FindView(const HostViews& views, std::string_view host);
 
 struct PlanInput {
@@ -68,12 +68,13 @@
   const DomainHosts& hosts;
   const HostViews& views;
   const Resources& resources;
-  /// Wanted replicas here, by serving group.
+  /// Wanted number of replicas in this domain, by serving group.
   const std::map<std::string, int>& wanted;
-  /// Serving groups of which one replica here may leave service now for a
-  /// change of version, so that capacity elsewhere keeps what sales promised.
+  /// Serving groups of which one replica in this domain may leave service now
+  /// for a version change, without loss of the promised capacity elsewhere.
   const std::vector<std::string>& rollout_candidates;
-  /// When this controller first saw each group in its present epoch and phase.
+  /// When this controller first saw each group in its current epoch and phase,
+  /// by group id.
   const std::map<std::string, TimePoint>& phase_since;
 };
 
@@ -86,7 +87,8 @@
 };
 using MemberOrder = std::variant<JoinOrder, LeaveOrder>;
 
-/// A change to write before any order that follows from it is sent.
+/// A state change that must be stored before any order that follows from it is
+/// sent.
 struct PlannedChange {
   DomainState next;
   DecisionRecord record;
@@ -97,7 +99,7 @@
   std::vector<MemberOrder> orders;
 };
 
-/// Whether the host was heard within `lost_after`.
+/// Whether the host's latest sign of life is at most `lost_after` old.
 bool IsAlive(const PlanInput& input,
              std::string_view host,
              const PlanPolicy& policy,
@@ -107,12 +109,13 @@
                 const PlanPolicy& policy,
                 TimePoint now);
 
-/// Hosts of the domain that may take a place in a group now.
+/// Hosts of the domain that may join a group now: alive, not leaving, in no
+/// group, and settled after their last loss.
 std::vector<std::string> FreeHosts(const PlanInput& input,
                                    const PlanPolicy& policy,
                                    TimePoint now);
 
-/// Accelerators held by no serving group, and those of broken ones.
+/// Number of accelerators on hosts that are not members of a serving group.
 int StrandedAccelerators(const DomainState& state, const DomainHosts& hosts);
 
 }  // namespace filbertrack
--- a/include/filbertrack/groups_state.h
+++ b/include/filbertrack/groups_state.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// State of one fabric domain: who may change it, its groups and the reasons
-/// for the latest changes. All of it is one object of the platform's object
-/// API, so that one conditional update forms, repairs or dissolves a group
-/// whole and of two controllers that race only one wins.
+/// State of one fabric domain: its lease, its groups and the reasons for the
+/// latest changes. It is stored as one object of the platform's object API, so
+/// that a single conditional update forms, repairs or dissolves a group
+/// atomically, and only one of two racing controllers succeeds.
 
 #include <cstdint>
 #include <string>
@@ -21,23 +21,23 @@
 inline constexpr std::string_view kPlatformHostsPrefix = "platform/hosts/";
 
 enum class GroupPhase {
-  /// Members join the epoch and load weights; no requests.
+  /// Members join the epoch and load weights; takes no requests.
   kLoading,
   kServing,
-  /// No new requests; those in flight end.
+  /// Takes no new requests; those in flight run to completion.
   kDraining,
-  /// A member is lost and no spare is free; no requests.
+  /// A member is lost and no spare is free; takes no requests.
   kBroken,
 };
 
 std::string_view GroupPhaseName(GroupPhase phase);
 
-/// What follows once a draining group has no request in flight.
+/// Next step once a draining group has no requests in flight.
 enum class DrainGoal { kNone, kDissolve, kChangeVersion, kReplaceMember };
 
 /// One replica: a model version on hosts of this domain. Every change of its
-/// members or version gets a new epoch; members and routers of an older epoch
-/// no longer take part.
+/// members or version starts a new epoch, which excludes members and routers of
+/// older epochs.
 struct Group {
   std::string id;
   std::string service;
@@ -47,13 +47,13 @@
   DrainGoal drain_goal = DrainGoal::kNone;
   std::string model_version;
   std::vector<std::string> adapters;
-  /// Host names; the first one takes the group's requests.
+  /// Host names; the first member receives the group's requests.
   std::vector<std::string> members;
 
   bool operator==(const Group&) const = default;
 };
 
-/// Why the fleet changed a group by itself.
+/// An automatic change of a group, and the evidence that led to it.
 struct DecisionRecord {
   uint64_t number = 0;
   int64_t wall_time_ms = 0;
@@ -68,7 +68,8 @@
 
 struct DomainLease {
   std::string holder;
-  /// Grows with every new holder; engines that check it refuse older ones.
+  /// Fencing number, increased with every new holder; engines that check it
+  /// refuse lower ones.
   uint64_t fence = 0;
 
   bool operator==(const DomainLease&) const = default;
@@ -79,9 +80,9 @@
   uint64_t last_epoch = 0;
   int free_hosts = 0;
   std::vector<Group> groups;
-  /// Versions that failed here; a rollout does not try them again.
+  /// Model versions that failed to load in this domain; rollouts skip them.
   std::vector<std::string> failed_versions;
-  std::vector<DecisionRecord> decisions;  ///< The latest kMostDecisions.
+  std::vector<DecisionRecord> decisions;  ///< The latest kMaxDecisions.
 
   bool operator==(const DomainState&) const = default;
 };
@@ -90,7 +91,7 @@
 
 void AppendDecision(DomainState& state, DecisionRecord record);
 
-/// One row of the platform's list of hosts.
+/// One entry of the platform's host list.
 struct PlatformHost {
   std::string name;
   Address address;
@@ -105,11 +106,16 @@
 };
 
 nlohmann::json ToJson(const DomainState& state);
+/// Fails with kResourceInvalid if the text cannot be parsed.
 Result<DomainState> ParseDomainState(std::string_view text);
+/// Fails with kResourceInvalid, or with the error of ParseAddress, if the text
+/// cannot be parsed.
 Result<DomainHosts> ParseDomainHosts(std::string_view domain,
                                      std::string_view text);
 
+/// Null if the host is not on the list.
 const PlatformHost* FindHost(const DomainHosts& hosts, std::string_view name);
+/// Null if the host is in no group.
 const Group* FindGroupOfHost(const DomainState& state, std::string_view host);
 
 }  // namespace filbertrack
--- a/source/groups_assign.cc
+++ b/source/groups_assign.cc
@@ -13,8 +13,8 @@
          group.drain_goal != DrainGoal::kDissolve;
 }
 
-/// Serving groups in the order in which they get hosts: those whose downtime
-/// weighs most first.
+/// Serving groups by descending downtime weight, the order in which they are
+/// assigned hosts.
 std::vector<const ServingGroup*> ByDowntimeWeight(const Resources& resources) {
   std::vector<const ServingGroup*> order;
   for (const auto& [name, group] : resources.serving_groups) {
@@ -83,8 +83,8 @@
       target->free -= declared->members_per_replica;
       --missing;
     }
-    // What fits nowhere else stays wanted where it broke, so that it is
-    // repaired when hosts come back.
+    // A replica that fits nowhere else stays assigned to the domain where it
+    // broke, so that it is repaired once hosts return.
     for (const auto& [name, domain] : domains) {
       for (const Group& group : domain.state.groups) {
         if (missing > 0 && group.serving_group == declared->name &&
--- a/source/groups_evidence.cc
+++ b/source/groups_evidence.cc
@@ -11,9 +11,10 @@
 
 using Json = nlohmann::json;
 
-/// A first answer that took longer than this dates all lines of its connection
-/// too early. A member that was paused while it was asked would look lost for
-/// as long as the connection lasts.
+/// Lines are dated relative to the request. If the first line takes longer than
+/// this, all lines of the connection are dated too early: a member that was
+/// paused during the request would look lost for as long as the connection
+/// lasts.
 constexpr Duration kMaxFirstLineDelay = Milliseconds(100);
 
 constexpr auto kPhaseNames =
@@ -25,7 +26,8 @@
       return static_cast<MemberPhase>(i);
     }
   }
-  // A phase this version does not know takes no requests.
+  // Phases unknown to this version are treated as idle, so the member gets no
+  // requests.
   return MemberPhase::kIdle;
 }
 
@@ -77,7 +79,8 @@
   } catch (const Json::exception& error) {
     return Fail(
         ResultCode::kBadRequest,
-        std::string("A line of an engine cannot be read: ") + error.what());
+        std::string("A heartbeat line of an engine cannot be parsed: ") +
+            error.what());
   }
 }
 
@@ -96,8 +99,8 @@
                       Duration(value.at(3).get<int64_t>())};
   } catch (const Json::exception&) {
     return Fail(ResultCode::kBadRequest,
-                "The load '" + std::string(text) +
-                    "' in an engine's answer cannot be read.");
+                "The Filbert-Load header '" + std::string(text) +
+                    "' of an engine's answer cannot be parsed.");
   }
 }
 
@@ -118,12 +121,12 @@
   if (beat.report) {
     m_report = beat.report;
   }
-  // A reader that was paused finds old lines in its socket and would take a
-  // dead member for a live one if it counted from their arrival. The first line
-  // cannot be older than the question it answers, and the engine's clock gives
-  // the time between lines; so every line's age is known to within the time
-  // that the first answer took, whenever it is read. The reader asks anew every
-  // few minutes, which bounds what the two clocks drift apart.
+  // Lines cannot be dated by their arrival: a reader that was paused finds old
+  // lines in its socket and would take a dead member for a live one. The first
+  // line cannot be older than the request, and the engine's clock gives the
+  // time between lines. The age of each line is thus known to within the delay
+  // of the first one, whenever it is read. The reader reconnects every few
+  // minutes, which bounds the drift between the two clocks.
   const Duration engine_clock(beat.engine_clock_us);
   if (!m_clock_offset) {
     m_clock_offset = m_requested_at.time_since_epoch() - engine_clock;
--- a/source/groups_hosts.cc
+++ b/source/groups_hosts.cc
@@ -2,7 +2,7 @@
 
 #include "filbertrack/groups_plan.h"
 
-/// What a controller knows of the hosts of its domain.
+/// A controller's observations of the hosts of its domain.
 
 namespace filbertrack {
 
--- a/source/groups_lease.cc
+++ b/source/groups_lease.cc
@@ -36,9 +36,10 @@
             const LeaseKeeper& keeper,
             const LeasePolicy& policy,
             TimePoint now) {
-  // The term tells a holder that was paused past its lease and then renewed its
-  // heartbeat that the domain may be another's by now: it has to win the
-  // domain's object again, with a new fence.
+  // A holder that was paused past the end of its lease and then renewed its
+  // heartbeat has a new term. Another controller may hold the domain by then,
+  // so it must acquire the domain's object again, with a new fence, before it
+  // acts.
   return ownership.lease.holder == self &&
          ownership.verified_term == keeper.term() && keeper.IsHeld(policy, now);
 }
@@ -53,14 +54,14 @@
     return now >= lease_seen + rank_delay;
   }
   if (lease.holder.empty()) {
-    // Given back; the last order before that may still be on its way.
+    // Released; the last order before the release may still be in transit.
     return now >= lease_seen + policy.order_ttl + rank_delay;
   }
   // The holder may send its last order just before its lease ends, and the
-  // order may travel for order_life. An engine that ignores fencing numbers
-  // would obey it, so the successor waits until it has arrived. The heartbeat
-  // must have been read after that time: an older reading tells nothing of a
-  // renewal since.
+  // order may be in transit for order_ttl. An engine that ignores fencing
+  // numbers would obey it, so the successor waits until it has arrived. The
+  // heartbeat must have been read after that time: an earlier reading does not
+  // rule out a renewal since.
   const TimePoint earliest =
       view.first_seen + policy.duration + policy.order_ttl + rank_delay;
   return view.holder == lease.holder && view.last_read >= earliest;
--- a/source/groups_plan.cc
+++ b/source/groups_plan.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// A step looks for one change; the first step that finds one wins the pass.
+/// Change found by one planning step, if any. The first step that finds one
+/// ends the search for this pass.
 using StepResult = std::optional<PlannedChange>;
 
 bool Contains(std::span<const std::string> names, std::string_view name) {
@@ -19,7 +20,7 @@
   return row == nullptr || row->leaving;
 }
 
-/// Why a member cannot be part of its group; empty where it can.
+/// Why a member counts as lost; empty if it does not.
 std::string LossReason(const PlanInput& input,
                        const std::string& host,
                        const PlanPolicy& policy,
@@ -61,8 +62,8 @@
                 [id](const Group& group) { return group.id == id; });
 }
 
-/// Starts a new epoch: all members join it anew, and nobody of the old one
-/// counts any more.
+/// Starts a new epoch, which all members must join; membership in the old epoch
+/// no longer counts.
 void StartEpoch(DomainState& state, Group& group) {
   group.epoch = ++state.last_epoch;
   group.phase = GroupPhase::kLoading;
@@ -84,7 +85,8 @@
                      });
 }
 
-/// A lost member: swap in a spare, or break the group until there is one.
+/// Replaces lost members by spares, or marks the group as broken until there
+/// are enough spares. Reloads a broken group once all its members are back.
 StepResult RepairGroup(const PlanInput& input,
                        const Group& group,
                        const PlanPolicy& policy,
@@ -135,8 +137,9 @@
   return change;
 }
 
-/// A member that lives but is no longer in the group's epoch: its engine was
-/// restarted, or obeyed an order of an older controller.
+/// Reloads a group with a member that is alive but no longer in the group's
+/// epoch: its engine was restarted, or obeyed an order of an earlier
+/// controller.
 StepResult RejoinMembers(const PlanInput& input, const Group& group) {
   if (group.phase != GroupPhase::kServing) {
     return std::nullopt;
@@ -245,8 +248,8 @@
   return change;
 }
 
-/// A member whose host the platform is about to take away: move off it while
-/// it still answers, if a spare is there.
+/// Drains a group with a member on a host that the platform is about to remove,
+/// if a spare is free, so that the member is replaced while it still answers.
 StepResult MoveOffLeavingHost(const PlanInput& input,
                               const Group& group,
                               const PlanPolicy& policy,
@@ -309,7 +312,8 @@
   return wanted == input.wanted.end() ? 0 : wanted->second;
 }
 
-/// A replica too many leaves service; broken and loading ones go first.
+/// Drains a replica in excess of the wanted number; broken and loading ones go
+/// first.
 StepResult RemoveExcessReplica(const PlanInput& input) {
   for (const GroupPhase phase :
        {GroupPhase::kBroken, GroupPhase::kLoading, GroupPhase::kServing}) {
@@ -333,7 +337,8 @@
 StepResult FormGroup(const PlanInput& input,
                      const PlanPolicy& policy,
                      TimePoint now) {
-  // Repair goes before expansion: a broken group may need these hosts.
+  // Repair takes precedence over new replicas: a broken group may need these
+  // hosts.
   const bool repairing = std::any_of(
       input.state.groups.begin(), input.state.groups.end(),
       [](const Group& group) { return group.phase == GroupPhase::kBroken; });
@@ -445,9 +450,9 @@
                 TimePoint now) {
   Plan plan;
   plan.change = PlanChange(input, policy, now);
-  // Orders follow the stored state only. Those that a change of this pass asks
-  // for wait until it is written, or a lost race would leave an engine with an
-  // order nobody stands for.
+  // Orders follow the stored state only. Those for the change of this pass wait
+  // until it is stored: if another controller's update wins, no engine may have
+  // received them.
   plan.orders = PlanOrders(input, policy, now);
   return plan;
 }
--- a/source/groups_state.cc
+++ b/source/groups_state.cc
@@ -40,7 +40,8 @@
   return row->name;
 }
 
-/// An unknown name reads as the first value, which takes no requests.
+/// An unknown name maps to the first enumerator; for a phase that is kLoading,
+/// which takes no requests.
 template <typename Enum, size_t N>
 Enum ValueOf(const std::array<EnumName<Enum>, N>& names, const Json& name) {
   const auto row = std::find_if(
--- a/tests/groups_lease_test.cc
+++ b/tests/groups_lease_test.cc
@@ -10,7 +10,7 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-/// The store's side of a lease: versions and conditional updates.
+/// The store's part of a lease: versions and conditional updates.
 struct FakeStore {
   std::map<std::string, uint64_t> heartbeat;
   uint64_t version = 0;
@@ -18,7 +18,7 @@
   uint64_t lease_version = 0;
 };
 
-/// One controller at the interface of the lease rules, with a clock of its own.
+/// One controller as seen by the lease rules, with its own clock.
 struct FakeController {
   std::string name;
   Duration clock_offset{0};
@@ -29,10 +29,9 @@
   TimePoint lease_seen;
 };
 
-TEST_CASE(
-    "property: never two controllers that may act, one order life apart") {
-  // Pauses, lost answers and clocks of any offset; the store is the only thing
-  // shared.
+TEST_CASE("property: two controllers never act within one order TTL") {
+  // Guards against overlapping leases. Controllers are paused, answers are
+  // delayed and clocks differ by any offset; only the store is shared.
   REQUIRE(rc::check("lease", [] {
     const LeasePolicy policy;
     FakeStore store;
@@ -106,8 +105,8 @@
 }
 
 TEST_CASE("a domain is taken only after the holder's last order has arrived") {
-  // An engine that ignores fencing numbers would get two masters. The holder
-  // sends its last order as its lease ends.
+  // Guards against an engine with two controllers. The old holder sends its
+  // last order as its lease ends, and the engine ignores fencing numbers.
   const LeasePolicy policy;
   const DomainLease lease{"old", 3};
   HolderView view;
@@ -121,11 +120,10 @@
   CHECK(MayAcquire(lease, kStart, view, policy, Duration(0), order_arrived));
 }
 
-TEST_CASE(
-    "an old reading of the heartbeat is no proof that the holder is gone") {
-  // Two controllers would order the same engines. The challenger read the
-  // heartbeat once and then heard nothing, as while the store is down; the
-  // holder may have renewed it since.
+TEST_CASE("an outdated heartbeat reading does not allow a takeover") {
+  // Guards against two controllers that order the same engines. The challenger
+  // read the heartbeat once and nothing after, for example because the store is
+  // down; the holder may have renewed it since.
   const LeasePolicy policy;
   HolderView view;
   ObserveHolder(view, "old", 7, kStart);
--- a/tests/groups_test.cc
+++ b/tests/groups_test.cc
@@ -17,8 +17,8 @@
 const TimePoint kStart{Seconds(1000)};
 const PlanPolicy kPolicy;
 
-/// Engines of one domain, at the interface that the planner sees: they obey
-/// orders at once and report.
+/// Simulated engines of one domain, as seen by the planner: they execute orders
+/// at once and report.
 class FakeDomain {
  public:
   explicit FakeDomain(int hosts) {
@@ -53,13 +53,14 @@
     engine.report.incarnation += "+";
   }
 
-  /// A controller without memory, as a successor is.
+  /// Simulates a successor, which starts without observations.
   void ForgetViews() {
     m_views.clear();
     m_phase_since.clear();
   }
 
-  /// One pass: observe, plan, write, and obey. Returns the action written.
+  /// One pass: observe, plan, execute orders and store. Returns the action of
+  /// the stored change; empty if there is none.
   std::string Pass() {
     m_now += Milliseconds(500);
     for (auto& [host, engine] : m_engines) {
@@ -103,8 +104,7 @@
     return serving;
   }
 
-  /// No host in two groups, each group of full size, a serving one whole when
-  /// it was written.
+  /// Whether no host is in two groups and every group has its full size.
   bool IsSound() const {
     std::set<std::string> seen;
     for (const Group& group : m_state.groups) {
@@ -165,8 +165,8 @@
 }
 
 TEST_CASE("a lost member is replaced by a spare, the others stay") {
-  // Callers see the group gone for one load. A host dies; a free one takes its
-  // place in a new epoch.
+  // The group is out of service for the duration of one load: a host dies, and
+  // a free one takes its place in a new epoch.
   FakeDomain domain(7);
   RunPasses(domain);
   REQUIRE(domain.CountServing() == 2);
@@ -182,7 +182,7 @@
 
 TEST_CASE(
     "without a spare a group breaks, and reloads when its member is back") {
-  // Callers see refusals, never half an answer. The only host that could help
+  // Requests are refused, never answered in part. The only host that could help
   // is the lost one itself.
   FakeDomain domain(6);
   RunPasses(domain);
@@ -196,9 +196,9 @@
   CHECK(domain.CountServing() == 2);
 }
 
-TEST_CASE("a member that flaps costs one repair, not one a flap") {
-  // Callers see one short gap. A host's engine dies and returns again and
-  // again; after the first loss it is a spare that has not settled.
+TEST_CASE("a flapping member causes one repair, not one per flap") {
+  // Guards against repeated gaps in service. A host's engine dies and returns
+  // repeatedly; after the first loss it is a spare that has not settled.
   FakeDomain domain(7);
   RunPasses(domain);
   const std::string victim = domain.m_state.groups[0].members[0];
@@ -214,9 +214,9 @@
   CHECK(repairs == 1);
 }
 
-TEST_CASE("a host that was lost just now takes no place until it has settled") {
-  // Callers of the group would wait for a second repair at once. The only free
-  // host flapped a moment ago; the group waits for it to hold out.
+TEST_CASE("a host that was just lost joins no group until it has settled") {
+  // Guards against a second repair right after the first. The only free host
+  // flapped a moment ago; the group waits until it has settled.
   FakeDomain domain(7);
   RunPasses(domain);
   const std::string flapping = domain.m_state.groups[0].members[0];
@@ -232,10 +232,10 @@
   CHECK(domain.m_now - broken >= kPolicy.settle);
 }
 
-TEST_CASE("an engine that obeyed an old order is called back") {
-  // Callers are not served by the group until it is whole again. A paused
-  // controller's order reaches an engine that ignores fencing numbers, and the
-  // engine leaves its group without its host being lost.
+TEST_CASE("an engine that obeyed an outdated order joins its group again") {
+  // A paused controller's order reaches an engine that ignores fencing numbers,
+  // and the engine leaves its group although its host is not lost. The group
+  // does not serve until it is complete again.
   FakeDomain domain(6);
   RunPasses(domain);
   const std::string host = domain.m_state.groups[0].members[1];
@@ -247,9 +247,9 @@
   CHECK(domain.m_state.groups[0].epoch > epoch);
 }
 
-TEST_CASE("a bad version goes back by itself and is not tried again") {
-  // Callers keep the capacity of the other replica. Version v2 is declared and
-  // fails to load on the first replica that tries it.
+TEST_CASE("a version that fails to load is rolled back and not retried") {
+  // Version v2 is declared and fails to load on the first replica that tries
+  // it. The other replica keeps serving.
   FakeDomain domain(6);
   RunPasses(domain);
   ServingGroup& declared = domain.m_resources.serving_groups["g"];
@@ -274,8 +274,8 @@
   CHECK(fewest == 1);
 }
 
-TEST_CASE("a group leaves a host that the platform takes away, in good order") {
-  // Callers in flight finish: the group drains before it changes members.
+TEST_CASE("a group drains before it leaves a host that the platform removes") {
+  // Requests in flight finish: the group drains before it changes members.
   FakeDomain domain(7);
   RunPasses(domain);
   const std::string leaving = domain.m_state.groups[0].members[0];
@@ -289,7 +289,7 @@
   CHECK(FindGroupOfHost(domain.m_state, leaving) == nullptr);
 }
 
-TEST_CASE("property: whatever dies, no host is in two groups, and it heals") {
+TEST_CASE("property: with any hosts lost, groups stay disjoint and recover") {
   REQUIRE(rc::check("plan", [] {
     FakeDomain domain(*rc::gen::inRange(6, 10));
     const int steps = *rc::gen::inRange(10, 80);
@@ -324,10 +324,9 @@
   }));
 }
 
-TEST_CASE(
-    "a controller that dies after any step has a successor that ends it") {
-  // Callers see both replicas in the end. The controller dies after each write
-  // in turn, from forming to serving and through a repair.
+TEST_CASE("a successor completes the steps of a controller that died") {
+  // Both replicas serve in the end. The controller dies after each number of
+  // passes, from forming to serving and through a repair.
   for (int deaths = 0; deaths < 12; ++deaths) {
     FakeDomain domain(7);
     for (int i = 0; i < deaths; ++i) {
@@ -347,9 +346,10 @@
   }
 }
 
-TEST_CASE("a line that waited in a buffer does not make a dead member live") {
-  // Callers would get answers of half a group. The reader is paused for ten
-  // seconds, the member dies after two; the reader wakes and finds lines.
+TEST_CASE("a buffered heartbeat line does not make a dead member look alive") {
+  // Guards against answers of an incomplete group. The reader is paused for ten
+  // seconds and the member dies after two; the reader then finds buffered
+  // lines.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
   HeartbeatLine beat;
@@ -360,10 +360,10 @@
   CHECK(*evidence.alive_at() == kStart + Seconds(2));
 }
 
-TEST_CASE("a member that was paused while it was asked is asked anew") {
-  // Callers would miss a whole group for minutes. The question waited three
-  // seconds in a paused engine; dated by it, each later line looks three
-  // seconds old, and the member lost.
+TEST_CASE("a connection to a member that was paused at its start is renewed") {
+  // Guards against a complete group that looks lost for minutes. The request
+  // waited three seconds in a paused engine; dated relative to it, each later
+  // line looks three seconds old.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
   evidence.OnHeartbeatLine({5'000'000, std::nullopt}, kStart + Seconds(3));
@@ -374,7 +374,7 @@
   CHECK(!evidence.NeedsReconnect());
 }
 
-TEST_CASE("property: no bytes crash the reading of a line or a stored value") {
+TEST_CASE("property: no bytes crash the parsers of lines and stored values") {
   REQUIRE(rc::check("values", [] {
     const auto bytes = *rc::gen::container<std::string>(rc::gen::elementOf(
         std::string("{}[]\":,trgroupsholderfence0123456789-\xff\x80 \n")));
@@ -400,9 +400,9 @@
   }));
 }
 
-TEST_CASE("replicas of a dark domain are formed elsewhere, and stay there") {
-  // Callers of spectra are served from the other domain. All groups of domain a
-  // are broken; b has room.
+TEST_CASE("replicas of a broken domain are formed where there are free hosts") {
+  // All groups of domain a are broken. The replica goes to b while b has free
+  // hosts, and stays assigned to a when it has none.
   Resources resources;
   resources.services["m"] = Service{"m", ServiceType::kModel, 0.9, {}, 1};
   ServingGroup declared;
