--- a/include/filbertrack/fleet_view.h
+++ b/include/filbertrack/fleet_view.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The fleet as one entry host's router sees it: the groups of every fabric
-/// domain, the evidence about their members, and this host's own experience
-/// with each of them.
+/// The router's view of the fleet on one entry host: the groups of all fabric
+/// domains, liveness evidence about their members, and this host's own request
+/// history with each of them.
 
 #include <map>
 #include <memory>
@@ -20,49 +20,54 @@
 
 namespace filbertrack {
 
-/// A group with what its domain's objects say of it.
+/// A group with its domain, data centre and member addresses, from the stored
+/// objects of its domain.
 struct FleetGroup {
   Group group;
   std::string domain;
   std::string data_centre;
-  /// Addresses of the members, in the order of `group.members`; empty hosts
-  /// are not on the platform's list.
+  /// Member addresses in the order of `group.members`; a default `Address` for
+  /// a member that is not on the platform's host list.
   std::vector<Address> addresses;
-  /// The same as `group.members`, kept by requests that outlive the epoch.
+  /// Copy of `group.members`, shared with requests that outlive the epoch.
   std::shared_ptr<const std::vector<std::string>> members;
 };
 
 class FleetView {
  public:
-  /// Takes over the resources of the generation that came in force.
+  /// Applies the resources of the configuration generation now in force.
   void SetResources(const Resources& resources, TimePoint now);
 
-  /// Takes over the domains' objects of the cache.
+  /// Rebuilds the groups and candidates from the domain objects in the cache.
+  /// Domains whose objects cannot be parsed are skipped.
   void ReadDomains(const ObjectCache& cache, TimePoint now);
 
-  /// New evidence about one host, read by this process. Returns the id of the
-  /// group that it is about; empty where the host is in none.
+  /// Records evidence that this process has read from one host. Returns the id
+  /// of the host's group; empty if the host is in no group, or in one that is
+  /// neither serving nor draining.
   std::string OnMember(std::string_view host,
                        const MemberEvidence& evidence,
                        TimePoint now);
 
-  /// Evidence about a group that another process read: `whole` or with a member
-  /// missing at time `at`. The later word counts. True where it was news.
+  /// Records evidence about a group that a peer has read: all members present
+  /// (`whole`) or a member missing, as of `at`. The more recent observation
+  /// wins. Returns false if the group is unknown in this epoch or `at` is not
+  /// newer than what is known.
   bool OnGroupEvidence(std::string_view group,
                        uint64_t epoch,
                        bool whole,
                        TimePoint at,
                        int load);
 
-  /// What an answer of a group said of its load.
+  /// Updates a group's load from the Filbert-Load header of one of its answers.
   void OnAnswerLoad(std::string_view group,
                     const AnswerLoad& load,
                     TimePoint now);
 
-  /// Evidence about all groups that this process knows, in the order of ids.
+  /// Evidence about all known groups, in the order of their ids.
   std::vector<GroupEvidence> Evidence(TimePoint now) const;
 
-  /// Drops what was read of hosts that this process no longer watches.
+  /// Removes the evidence about hosts that this process no longer watches.
   void PruneMembers(const std::map<std::string, Address, std::less<>>& watched);
 
   const std::map<std::string, FleetGroup, std::less<>>& groups() const {
@@ -71,10 +76,11 @@
   std::vector<RouteCandidate>& candidates() { return m_candidates; }
   RouteCandidate* FindCandidate(std::string_view id);
 
-  /// Whether the group may answer now, by the default bound.
+  /// Whether the evidence that all members are present is recent enough for the
+  /// group to answer now, by the default `RouteLimits`.
   bool IsWholeNow(std::string_view id, TimePoint now) const;
 
-  /// Hosts of all domains with their addresses.
+  /// Addresses of the hosts of all domains, by host name.
   const std::map<std::string, Address, std::less<>>& hosts() const {
     return m_hosts;
   }
--- a/source/fleet_view.cc
+++ b/source/fleet_view.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Older than any bound.
+/// Age of the evidence about a group of which nothing is known; exceeds every
+/// evidence bound.
 constexpr Duration kUnknownEvidenceAge = Seconds(60);
 
 LoadReport ReadLoad(const MemberReport& report, TimePoint now) {
@@ -209,8 +210,8 @@
   candidate.target.id = id;
   candidate.target.epoch = epoch;
   candidate.history.serving_since = now;
-  // Work in flight on an older epoch ends there; it still counts here until
-  // then, because it runs on the same hosts.
+  // Requests in flight on an older epoch run to completion on the same hosts,
+  // so they still count as load of this one.
   if (known != nullptr) {
     candidate.history.in_flight = known->history.in_flight;
   }
@@ -239,8 +240,8 @@
                           TimePoint now) {
   for (const auto& [id, located] : m_groups) {
     const Group& group = located.group;
-    // Groups that drain stay known, so that requests in flight go on; only a
-    // serving one gets new requests.
+    // Draining groups stay candidates so that their requests in flight can
+    // finish; only serving groups get new requests.
     if (group.phase != GroupPhase::kServing &&
         group.phase != GroupPhase::kDraining) {
       continue;
@@ -263,7 +264,7 @@
   for (const std::string& host : group.members) {
     const auto member = m_members.find(host);
     if (member == m_members.end()) {
-      return;  // Not read by this process; peers tell of the group.
+      return;  // Not watched by this process; peers send the evidence.
     }
     const MemberState& state = member->second;
     if (!state.alive_at || state.report.group != group.id ||
