--- a/include/filbertrack/replica_plan.h
+++ b/include/filbertrack/replica_plan.h
@@ -1,17 +1,18 @@
 #pragma once
 
-/// Decides the orders that keep the replicas of one service whole: which hosts
-/// form groups, which group is opened, taken apart or joined anew after a loss,
-/// and which weights spare hosts fetch ahead. The members' own reports are the
-/// state; what is remembered between passes only spaces orders out, so that a
-/// controller that starts with nothing carries on.
+/// Plans the orders that keep the replicas of one service complete: which hosts
+/// form groups, which groups are opened, dissolved or formed again after a
+/// loss, and which weights spare hosts load in advance. The members' own
+/// reports are the state. What is kept between passes only spaces out orders,
+/// so that a controller can continue from an empty memory.
 ///
-/// Two guarantees hold whatever is lost, late or done twice:
+/// Two invariants hold even if orders or reports are lost, delayed or
+/// duplicated:
 /// - a group is opened only when every member reports that it is ready in the
 ///   group and epoch, and a host joins another group only once the head of its
-///   present one cannot take requests any more;
-/// - epochs only grow, so that an order that arrives late finds a newer epoch
-///   and is refused.
+///   current one can no longer take requests;
+/// - epochs only increase, so that an order that arrives late finds a newer
+///   epoch and is rejected.
 
 #include <cstdint>
 #include <deque>
@@ -29,34 +30,35 @@
 
 namespace filbertrack {
 
-/// What direct questions to a host have shown.
+/// Health of a host as found by direct probes.
 enum class HostHealth {
   kAnswers,
-  /// No answer. It may live behind a partition, and its group may go on.
+  /// No answer. The host may be alive behind a network partition, and its group
+  /// may still serve.
   kSilent,
-  /// The process is known to be gone: its address refuses connections, or
-  /// another process answers there.
+  /// The process has ended: its address refuses connections, or another process
+  /// answers there.
   kGone,
 };
 
 struct HostProbeResult {
   HostHealth health = HostHealth::kAnswers;
-  /// It carries out an order, such as a load.
+  /// The host is executing an order, such as a load of weights.
   bool busy = false;
-  /// Start of the process that this is about, Unix ms; 0: not told.
+  /// Start time of the probed process, Unix time in ms; 0: unknown.
   uint64_t process_start_ms = 0;
 };
 
 using HostProbeResults = std::map<std::string, HostProbeResult, std::less<>>;
 
-/// Every host of `members` joins the group; the first one is the head.
+/// Orders every host of `members` to join the group; the first one is the head.
 struct JoinGroup {
   std::string group;
   uint64_t epoch = 0;
   std::string model;
   std::vector<std::string> members;
 };
-/// The head, with all members ready, starts to take requests.
+/// Orders the head to take requests; sent once all members are ready.
 struct OpenGroup {
   std::string head;
   std::string group;
@@ -66,7 +68,7 @@
   std::string head;
   std::string group;
   uint64_t epoch = 0;
-  /// Ends the requests that run; otherwise they may end by themselves.
+  /// Cancels running requests; otherwise they may run to completion.
   bool cancel = false;
 };
 struct LeaveGroup {
@@ -74,7 +76,8 @@
   std::string group;
   uint64_t epoch = 0;
 };
-/// The host fetches a model's weights beside what it does.
+/// Orders the host to fetch a model's weights without interrupting its other
+/// work.
 struct StageModel {
   std::string host;
   std::string model;
@@ -83,120 +86,126 @@
 using ReplicaOrder =
     std::variant<JoinGroup, OpenGroup, CloseGroup, LeaveGroup, StageModel>;
 
-/// One order and why it is given.
+/// An order and the reason for it.
 struct PlannedOrder {
   ReplicaOrder order;
   std::string reason;
-  /// Hosts that get it; empty: all that the order names.
+  /// Hosts to send the order to; empty: all hosts named in the order.
   std::vector<std::string> recipients;
 };
 
 struct ReplicaPolicy {
   /// A head that lost a member holds its requests for this long and then
-  /// refuses them; until then it may still run what it has.
+  /// refuses them; until then it may still run the requests that it has.
   Duration stall = Seconds(5);
-  /// Beyond `stall`, for reports that are under way.
+  /// Added to `stall` for reports in transit.
   Duration stall_margin = Seconds(1);
-  /// An order that was not answered may be carried out up to this much later.
+  /// An unanswered order may still be executed for this long after it was sent.
   Duration order_ttl = Seconds(12);
-  /// An order that shows no effect after this is given again. A report comes
-  /// some 50 ms after its order was carried out, half a second while the store
-  /// is slow.
+  /// An order without visible effect is sent again after this. A report takes
+  /// about 50 ms after its order was executed, half a second while the store is
+  /// slow.
   Duration order_retry = Milliseconds(500);
-  /// A group some members of which do not begin to join is given up after this:
-  /// three further orders to each.
+  /// A group is abandoned if some members have not started to join after this;
+  /// leaves time for three further orders to each of them.
   Duration forming_timeout = Milliseconds(2000);
-  /// The same where the head does not begin, which is not ordered again: longer
-  /// than two reports of one group lie apart while the store is slow.
+  /// Same, if the head has not started to join, or if join orders are not sent
+  /// again; the head gets no second order. Longer than the interval between two
+  /// reports of one group while the store is slow.
   Duration headless_timeout = Milliseconds(1000);
-  /// Hosts kept free in each fabric domain, so that a lost member is replaced
-  /// from weights that are staged already.
+  /// Hosts kept free in each fabric domain with a large group, so that a lost
+  /// member is replaced by a host that has the weights already.
   int spares_per_domain = 2;
-  /// Part of the allowed rate of loads that is used; the rest is left to
-  /// orders of an earlier controller that arrive late.
+  /// Fraction of the permitted load rate that is used; the rest is left for
+  /// late orders of an earlier controller.
   double load_rate_share = 0.8;
+  /// Period over which the load rate is measured.
   Duration load_window = Seconds(5);
   /// Before traffic, the first groups are formed once no host has registered
-  /// for this long: which hosts share a domain decides what fits together, and
-  /// registrations arrive over some seconds.
+  /// for this long: registrations arrive over some seconds, and which hosts
+  /// share a domain decides which groups are possible.
   Duration settle = Milliseconds(600);
-  /// Pressures are smoothed over this long: a load takes longer, and a burst
-  /// that is over by then must not move hosts.
+  /// Time constant for smoothing the pressures. A load of weights takes longer,
+  /// so hosts must not be moved for a burst that is over by then.
   Duration pressure_window = Seconds(4);
-  /// By how much, either way, the pressure may change a model's share.
+  /// Maximum factor by which the pressure may raise or lower a model's share.
   double max_share_change = 2;
-  /// A joining group that is not ready after this many times its expected time
-  /// is given up.
+  /// A joining group that is not ready after this multiple of the model's load
+  /// time is abandoned.
   double join_timeout_factor = 3;
 
-  // Switches, to measure what each mechanism is worth.
+  // Switches that turn single mechanisms off, for measurements.
 
-  /// Orders to join are given again to members that do not begin.
+  /// Join orders are sent again to members that have not started to join.
   bool repeats_joins = true;
-  /// The models' shares follow what is asked of them.
+  /// The models' shares follow the demand for them.
   bool follows_demand = true;
-  /// Idle hosts of one model load another.
+  /// Idle hosts of one model load another that lacks groups.
   bool converts_idle = true;
-  /// Spares hold their weights in memory.
+  /// Spares load their weights into memory.
   bool warms_spares = true;
 };
 
-/// A load of weights that was started.
+/// A load of weights that has been started.
 struct StartedLoad {
   TimePoint at;
   std::string model;
 };
 
-/// When a host was given an order, and what it reported then.
+/// When an order was sent to a host, and the membership that the host reported
+/// then.
 struct RecentOrder {
   TimePoint at;
   std::optional<Membership> before;
 };
 
-/// Orders to open one group that were sent.
+/// Orders sent to open one group.
 struct OpenOrders {
   uint64_t epoch = 0;
   TimePoint last_sent;
-  /// Those that were not answered may still be carried out.
+  /// Number of orders without an answer, which may still be executed.
   int unanswered = 0;
 };
 
-/// An order to join a group that was not ordered to open yet.
+/// A join order for a group that has not been ordered to open yet.
 struct PendingJoin {
   JoinGroup order;
   TimePoint last_sent;
-  /// The group is not given up.
+  /// False once the group has been abandoned.
   bool wanted = true;
 };
 
-/// What the planner remembers between passes of one controller.
+/// State that the planner of one controller keeps between passes.
 struct ReplicaMemory {
-  /// Number of the controller's lease; epochs begin with it.
+  /// Number of the controller's lease; the high-order part of its epochs.
   uint64_t term = 0;
+  /// Latest epoch of the term, counted from its start.
   uint64_t last_epoch_number = 0;
-  /// The latest order to each host; no other follows until its effect shows or
-  /// `order_retry` has passed.
+  /// Latest order to each host; the next one waits until its effect is visible
+  /// or `order_retry` has passed.
   std::map<std::string, RecentOrder, std::less<>> recent_orders;
   /// Epoch of the latest group that each host was ordered to join.
   std::map<std::string, uint64_t, std::less<>> ordered_epoch;
-  /// Smoothed pressure of each model, and when it was last brought up to date.
+  /// Smoothed pressure of each model, and the time of the latest update.
   std::map<std::string, double, std::less<>> pressure;
   TimePoint pressure_at;
-  /// First pass of the term.
+  /// Time of the first pass of the term.
   std::optional<TimePoint> term_start;
-  /// Orders to open by group; forgotten once none of them can arrive any more.
+  /// Open orders by group; removed once none of them can still take effect.
   std::map<std::string, OpenOrders, std::less<>> open_orders;
-  /// Groups whose head is not registered any more, since when, by key.
+  /// Since when the head of a group has no longer been registered, by group and
+  /// epoch.
   std::map<std::string, TimePoint, std::less<>> headless_since;
-  /// Orders to join by group, until it is ordered to open.
+  /// Join orders by group, until the group is ordered to open.
   std::map<std::string, PendingJoin, std::less<>> pending_joins;
-  /// First sight of each joining group.
+  /// When each joining group was first seen, by group and epoch.
   std::map<std::string, TimePoint, std::less<>> joining_since;
-  /// Starts of loads in the latest window, and loads that are not done.
+  /// Start times of loads within the latest `load_window`.
   std::deque<TimePoint> load_starts;
+  /// Loads that have not completed, by host.
   std::map<std::string, StartedLoad, std::less<>> loading;
-  /// Start of the process of each host, Unix ms: of one that started again,
-  /// orders and loads that were under way are over.
+  /// Start time of each host's process, Unix time in ms. When a host has
+  /// restarted, the orders and loads of its earlier process are over.
   std::map<std::string, uint64_t, std::less<>> process_starts;
 };
 
@@ -204,15 +213,15 @@
   const ServerDirectory& directory;
   const HostProbeResults& probe_results;
   const ServiceProfile& service;
-  /// No request has come yet: loads are quick and not rationed.
+  /// No request has arrived yet: loads are fast and not rate-limited.
   bool before_traffic = false;
-  /// Each host was asked at least once whether it loads.
+  /// Every host has been probed at least once for a load in progress.
   bool loads_known = true;
-  /// How much of what its groups can do is asked of each model; models of which
-  /// nothing is known are absent.
+  /// Demand for each model relative to the capacity of its groups; models
+  /// without data are absent.
   std::map<std::string, double, std::less<>> pressure;
-  /// Data centres whose hosts are left alone: they get no orders and count for
-  /// no group that is wanted. Null: none.
+  /// Evacuated data centres: their hosts get no orders and do not count towards
+  /// wanted groups. Null: none.
   const SiteEvacuations* evacuations = nullptr;
 };
 
@@ -221,23 +230,24 @@
                                        ReplicaMemory& memory,
                                        TimePoint now);
 
-/// The host that an order went to has answered it, whatever it said: the order
-/// will not be carried out later.
+/// A host has answered an order, with any result, and so will not execute it
+/// later.
 void OnOrderAnswered(const ReplicaOrder& order, ReplicaMemory& memory);
 
-/// What the hosts of a service do, counted.
+/// Numbers of hosts and groups of a service, by state.
 struct ReplicaCounts {
-  /// Hosts that may be members.
+  /// Hosts that may be members of a group.
   int usable = 0;
   int silent = 0;
   int quarantined = 0;
   int loading = 0;
-  /// Without a group and without weights.
+  /// Hosts without a group and without weights.
   int empty = 0;
-  /// Groups that serve, and those that do not yet, or no longer, by model.
+  /// Groups that serve, by model.
   std::map<std::string, int, std::less<>> serving;
+  /// Groups that do not serve yet, or no longer, by model.
   std::map<std::string, int, std::less<>> not_serving;
-  /// Hosts without a group that have the model's weights.
+  /// Hosts outside serving groups that have the model's weights, by model.
   std::map<std::string, int, std::less<>> standing_by;
 };
 
@@ -246,13 +256,14 @@
                             ReplicaMemory& memory,
                             TimePoint now);
 
-/// Groups wanted of each model when `hosts` hosts may be members: each model
-/// gets its share of them, rounded to whole groups.
+/// Number of groups of each model for `hosts` usable hosts. Each model gets its
+/// share of the hosts, rounded down to whole groups; remaining hosts go to the
+/// models furthest below their share.
 std::map<std::string, int, std::less<>> WantedReplicas(
     const EngineProfile& engine,
     int hosts);
 
-/// The model that a group's name tells.
+/// Name of the model, which is a part of the group's name.
 std::string_view ModelOfGroup(std::string_view group);
 
 }  // namespace filbertrack
--- a/source/replica_demand.cc
+++ b/source/replica_demand.cc
@@ -3,7 +3,7 @@
 
 #include "replica_pass.h"
 
-/// The part of the planner that follows what is asked of the models.
+/// Part of the planner that adapts the models' shares to the demand.
 
 namespace filbertrack {
 
@@ -29,7 +29,7 @@
     const auto found = m_group_counts.find(model.name);
     if (pressure == m_memory.pressure.end() || found == m_group_counts.end() ||
         found->second <= 0) {
-      // Nothing can be said of a model that no group serves.
+      // The demand for a model that no group serves is unknown.
       return;
     }
     const double hosts = found->second * model.members * pressure->second;
--- a/source/replica_form.cc
+++ b/source/replica_form.cc
@@ -2,14 +2,14 @@
 
 #include "replica_pass.h"
 
-/// The part of the planner that forms new groups.
+/// Part of the planner that forms new groups.
 
 namespace filbertrack {
 
 namespace {
 
-/// Weight of a domain's present groups against its free hosts: more than a
-/// domain has hosts, so that it decides.
+/// Score of a domain's existing groups, where each free host scores 1. Greater
+/// than the number of hosts of a domain, so that the groups decide.
 constexpr double kColocationWeight = 1000;
 
 }  // namespace
@@ -190,7 +190,7 @@
   for (const ModelProfile* model : ModelsByHostsPerShare()) {
     const auto size = static_cast<size_t>(model->members);
     for (auto& [name, domain] : m_domains) {
-      // Hosts that have the model and are enough for a group serve it.
+      // Hosts that have the model and suffice for a group are never left idle.
       if (FormWarm(domain, *model)) {
         return true;
       }
@@ -216,7 +216,7 @@
   if (chosen.size() < size) {
     return false;
   }
-  // Those that have the model in memory are ready soonest.
+  // Hosts that have the model in memory are ready first.
   std::stable_partition(chosen.begin(), chosen.end(),
                         [&model](const BackendServer* host) {
                           return HasModelInMemory(*host, model.name);
--- a/source/replica_pass.h
+++ b/source/replica_pass.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One pass of the planner over one service: what it reads, decides and gives.
+/// One planning pass over one service.
 
 #include <map>
 #include <set>
@@ -14,17 +14,19 @@
 namespace filbertrack {
 
 inline constexpr char kGroupNameSeparator = '/';
-/// Epochs of one term; a term gives fewer orders than this.
+/// Epochs reserved for one term; a term sends fewer orders than this.
 inline constexpr uint64_t kEpochsPerTerm = 100000;
-/// Members up to which a broken group strands too little to keep spares for.
+/// Largest group, in members, for which no spares are kept: when it breaks, too
+/// few hosts become idle to justify spares.
 inline constexpr int kMaxSmallGroupSize = 2;
 
 inline bool IsLarge(const ModelProfile& model) {
   return model.members > kMaxSmallGroupSize;
 }
 
-/// One pass over one service. Each step adds orders; hosts that got one in this
-/// pass, or wait for the effect of an earlier one, are busy.
+/// One planning pass over one service. Each step adds orders. A host is busy if
+/// it got an order in this pass, or if the effect of an earlier one is not
+/// visible yet.
 class ReplicaPass {
  public:
   ReplicaPass(const ReplicaInput& input,
@@ -40,7 +42,8 @@
 
   std::vector<PlannedOrder> Run();
 
-  /// The host left a group whose head may still hold requests.
+  /// Whether the host left a group whose head may still hold requests; it may
+  /// not join another group until then.
   bool IsQuarantined(const std::string& host) const;
 
   HostHealth Health(const BackendServer& server) const;
@@ -48,33 +51,33 @@
  private:
   bool IsSettling() const;
 
-  /// Tells a group and epoch from all others.
+  /// Map key of a group in one epoch.
   static std::string GroupEpochKey(const ReplicaView& replica);
 
-  // What is known of a host.
+  // State of a host.
 
   bool IsUsable(const BackendServer* server) const;
 
-  /// Its data centre is evacuated.
   bool IsEvacuated(const BackendServer& server) const;
 
-  /// The effect of the host's latest order does not show yet.
+  /// Whether the effect of the host's latest order is not visible yet and
+  /// `order_retry` has not passed.
   bool IsBusy(const std::string& host) const;
 
-  /// No order that is still under way can make the head of the group that the
-  /// host left take requests anew. An order to open that went unanswered does
-  /// nothing to a head that is open, but opens one that was closed meanwhile.
-  /// Only the controller of a group's own term orders it to open.
+  /// Whether no order in transit can make the head of the group that the host
+  /// left take requests again. An unanswered open order has no effect on an
+  /// open head, but opens one that was closed in the meantime. Only the
+  /// controller of a group's own term sends open orders for it.
   bool CannotReopen(const Departure& departure) const;
 
-  /// Orders to open the group of which one may still arrive; null: none.
+  /// Open orders for the group of which one may still arrive; null: none.
   const OpenOrders* FindOpenOrders(std::string_view group,
                                    uint64_t epoch) const;
 
   static bool HasStaged(const BackendServer& server, std::string_view model);
 
-  /// A load is under way there: one that this controller started, or one of
-  /// an earlier controller.
+  /// Whether the host is loading weights, on the order of this controller or of
+  /// an earlier one.
   bool IsLoading(const BackendServer& server) const;
 
   // Bookkeeping.
@@ -85,44 +88,48 @@
 
   void PruneMemory();
 
-  /// What was given to the earlier life of a host that started again. The
-  /// epochs that it was ordered to join stay: those orders may still arrive.
+  /// Drops the orders to and loads of the earlier process of a host that has
+  /// restarted. The epochs that it was ordered to join are kept: those orders
+  /// may still arrive.
   void ForgetEarlierInstances();
 
   Duration LoadTimeout() const;
 
-  // What is asked of the models.
+  // Demand.
 
-  /// Brings the smoothed pressures up to date.
+  /// Updates the smoothed pressures.
   void UpdatePressure();
 
-  /// Sets the models' shares by the work that is asked of them now. The shares
-  /// of the configuration are those at the start; when the mix of requests
-  /// moves, one model's callers are turned away while hosts of another idle.
+  /// Sets the models' shares from the current demand. The configured shares are
+  /// initial values: with fixed shares, a change in the mix of requests would
+  /// leave one model refusing requests while hosts of another are idle.
   void AdaptShares();
 
-  // Groups that are there.
+  // Existing groups.
 
   void ReconcileReplica(const ReplicaView& replica);
 
-  /// A host that stands by is free for any group.
+  /// Members of standby groups are free for any group.
   void ReconcileStandby(const ReplicaView& replica);
 
-  /// Some members have not begun to join yet; their orders may be on the way.
+  /// Whether the group may still complete: some members have not started to
+  /// join, but their orders may be in transit. Sends the join order to them
+  /// again when due.
   bool IsForming(const ReplicaView& replica);
 
-  /// Orders the members that have not begun to join once more, but for the
-  /// head: a second order to it could arrive after it left, and bring it back
-  /// to where an order to open that went astray opens it without its members.
+  /// Sends the join order again to the members that have not started to join.
+  /// Called only once the head has joined: a second order to the head could
+  /// arrive after it left and make it rejoin, and a delayed open order would
+  /// then open it without its members.
   void RetryJoin(PendingJoin& join);
 
   void ReconcileComplete(const ReplicaView& replica,
                          const ModelProfile& model,
                          bool joining);
 
-  /// A member was ordered to join another group since, or an earlier controller
-  /// may have ordered it. That order could arrive after this group was opened
-  /// and take the member out of it.
+  /// Whether a member has been ordered to join another group since, or may have
+  /// been by an earlier controller. That order could arrive after this group
+  /// was opened and remove the member from it.
   bool IsSuperseded(const ReplicaView& replica) const;
 
   void AbandonSlowJoin(const ReplicaView& replica, const ModelProfile& model);
@@ -131,8 +138,8 @@
                         const ModelProfile& model,
                         int change);
 
-  /// Takes a group apart. Its hosts become free only once its head cannot run
-  /// requests any more: it closed, it broke, or it is gone.
+  /// Dissolves a group. Its hosts become free only once its head can no longer
+  /// run requests: it has closed, broken or ended.
   void Dissolve(const ReplicaView& replica, std::string_view why);
 
   bool HeadLeft(const ReplicaView& replica) const;
@@ -140,15 +147,16 @@
   void DissolveWithoutHead(const ReplicaView& replica,
                            const BackendServer* head);
 
-  /// Orders to a head that does not reach the store may reach it all the same:
-  /// first to end its requests, then to leave, which frees its members seconds
-  /// before the stall would. False once it had time for both.
+  /// Orders a head that is no longer registered to close the group and then to
+  /// leave it. A head that cannot reach the store may still receive orders, and
+  /// its leaving frees the members seconds before the stall would. Returns
+  /// false if the head is unknown, or once it has had time for both orders.
   bool OrderUnregisteredHead(const ReplicaView& replica);
 
-  /// Lets the members join other groups. The head leaves first: it may have
-  /// opened since its last report, and an order to open it that went astray
-  /// could still arrive; a member that joined another group by then would be
-  /// in two. Without the old membership the head does nothing for it.
+  /// Releases the members for other groups. The head must leave first: it may
+  /// have opened since its last report, or a delayed open order may still
+  /// arrive, and a member that had joined another group by then would be in
+  /// two. A head that has left ignores such an order.
   void Disband(const ReplicaView& replica);
 
   void ReleaseMembers(const ReplicaView& replica);
@@ -157,17 +165,18 @@
 
   bool IsFree(const BackendServer& server) const;
 
-  /// It has the model in memory and is not busy to get there.
+  /// Whether the host has the model in memory and is not still joining a group
+  /// to load it.
   static bool HasModelInMemory(const BackendServer& server,
                                std::string_view model);
 
-  /// Whether the host can join a group of the model without a load.
+  /// Whether the host can join a group of the model without fetching weights.
   static bool IsWarm(const BackendServer& server, std::string_view model);
 
-  /// One fabric domain as it is for new groups.
+  /// Free hosts and groups of one fabric domain.
   struct Domain {
     std::vector<const BackendServer*> free;
-    /// Groups that serve or will, by model.
+    /// Groups that are complete, serving or about to, by model.
     std::map<std::string, int, std::less<>> groups;
   };
 
@@ -175,41 +184,42 @@
 
   void FormGroups();
 
-  /// Hosts that domains with large groups keep as spares.
+  /// Number of hosts that domains with large groups keep as spares.
   int CountReservedHosts() const;
 
-  /// How much of what is wanted of a model is missing; the larger, the more
-  /// urgent.
+  /// Missing fraction of the wanted groups of a model; 0 if none are wanted,
+  /// negative if there are more than wanted.
   double Shortage(const ModelProfile& model) const;
 
   std::vector<const ModelProfile*> ModelsByShortage() const;
 
-  /// Domains in the order in which they suit a new group of the model. Groups
-  /// of one large model stand together: a host that is free there can stand in
-  /// for any of their members, and what is left of two broken groups makes one.
+  /// Domains by descending suitability for a new group of the model. Groups of
+  /// one model are placed together: a free host there can replace a member of
+  /// any of them, and the remaining members of two broken groups can form one.
   std::vector<Domain*> DomainsBySuitability(const ModelProfile& model);
 
   bool FormOne();
 
-  /// Hosts that are kept beside the groups of the model.
+  /// Number of spares kept for the groups of the model.
   int CountSpares(const ModelProfile& model) const;
 
-  /// Models by their hosts for their share, spares included, the least first.
+  /// Models by the number of their hosts, spares included, relative to their
+  /// share, in ascending order.
   std::vector<const ModelProfile*> ModelsByHostsPerShare() const;
 
   bool HasLargeGroup(const Domain& domain) const;
 
-  /// A group beyond those that are wanted, from hosts that would stand idle:
-  /// spares help only beside groups that are large, where one lost member costs
-  /// several hosts. Two hosts kept in each of 12 domains were 12 of 216 that no
-  /// group could use.
+  /// Forms a group beyond those that are wanted, from hosts that would be idle.
+  /// Spares are useful only in domains with large groups, where one lost member
+  /// costs several hosts: with two hosts kept in each of 12 domains, no group
+  /// could use 12 of 216 hosts.
   bool FormExtra();
 
-  /// A group from hosts that have the weights.
+  /// Forms a group from hosts that have the weights.
   bool FormWarm(Domain& domain, const ModelProfile& model);
 
-  /// A group whose members load the weights as they join: only while loads are
-  /// quick.
+  /// Forms a group whose members load the weights as they join; only while
+  /// loads are fast.
   bool FormCold(Domain& domain, const ModelProfile& model);
 
   void Join(Domain& domain,
@@ -224,57 +234,61 @@
 
   void RecordLoad(const std::string& host, const std::string& model);
 
-  /// Hosts of the domain that have the model's weights, or will, and are free.
+  /// Number of free hosts of the domain that have the model's weights or are
+  /// loading them.
   size_t CountStandby(const Domain& domain, const ModelProfile& model) const;
 
   const BackendServer* FindEmpty(const Domain& domain) const;
 
-  /// A large group without a host that can stand in loses all its members for
-  /// as long as a load takes, so the first spare beside it goes before groups
-  /// in further domains.
+  /// Stages the model on a first spare in a domain that has a group of this
+  /// large model and no room for another. Without a spare, the loss of one
+  /// member takes the whole group out of service for the duration of a load, so
+  /// this takes precedence over groups in further domains.
   bool StageFirstSpare(const ModelProfile& model);
 
-  /// What one more host with the model's weights is good for in this domain,
-  /// in hosts that serve because of it.
+  /// Benefit of one more host with the model's weights in this domain, as a
+  /// number of hosts that serve because of it.
   double StageValue(const Domain& domain, const ModelProfile& model) const;
 
   void Stage(const BackendServer& host, const ModelProfile& model);
 
   void StageSpares();
 
-  /// Has free hosts load what they have staged into memory, by a join to a
-  /// group of their own. A host whose last group served the model joins the
-  /// next one in 0.2 s; without that a spare takes the 1.1 to 1.6 s of its
-  /// warm-up while the other members of the group wait for it.
+  /// Makes free hosts load their staged weights into memory by joining a
+  /// standby group of one member. A host whose last group served the model
+  /// joins the next one in 0.2 s; a spare that is not warmed up takes 1.1 to
+  /// 1.6 s, during which the other members of the group wait.
   void WarmSpares();
 
-  /// Has hosts that idle beside what their domain keeps as spares load another
-  /// model of which groups are missing, while no empty host wants the load.
+  /// Makes idle hosts, beyond the spares of their domain, load another model
+  /// that lacks groups. Runs after StageSpares, so that empty hosts use the
+  /// permitted loads first.
   void ConvertIdle();
 
-  /// Hosts of the domain that stand by for the model and are not needed there.
+  /// Free hosts of the domain that have only this model staged, beyond the
+  /// spares to keep.
   std::vector<const BackendServer*> FindIdle(const Domain& domain,
                                              const ModelProfile& model) const;
 
   uint64_t NextEpoch();
 
   const ReplicaInput& m_input;
-  /// With the shares of the work that the models have now.
+  /// Profile with the models' shares adapted to the current demand.
   EngineProfile m_engine;
   const ReplicaPolicy& m_policy;
   ReplicaMemory& m_memory;
   TimePoint m_now;
   std::vector<ReplicaView> m_replicas;
   std::vector<PlannedOrder> m_orders;
-  /// Groups that serve or will, by model.
+  /// Groups that are complete, serving or about to, by model.
   std::map<std::string, int, std::less<>> m_group_counts;
-  /// The same by domain.
+  /// Same, by domain and model.
   std::map<std::string, std::map<std::string, int, std::less<>>>
       m_group_counts_in;
   std::map<std::string, Domain> m_domains;
   int m_usable = 0;
   std::map<std::string, int, std::less<>> m_wanted;
-  /// Members of groups that cannot run requests any more.
+  /// Members of groups that can no longer run requests; free for other groups.
   std::set<std::string, std::less<>> m_released;
 };
 
--- a/source/replica_plan.cc
+++ b/source/replica_plan.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// What an order means for the joins of its group.
+/// Updates the pending joins for an order that is sent: an open order completes
+/// the join of its group, a close or leave order abandons it.
 struct PendingJoinUpdate {
   std::map<std::string, PendingJoin, std::less<>>& joins;
 
@@ -69,7 +70,8 @@
                       found->second.process_start_ms)) {
     return HostHealth::kAnswers;
   }
-  // The process that registered has ended; the registration is not renewed yet.
+  // The probe reached a newer process than the registered one, which has
+  // therefore ended; the registration is not renewed yet.
   return IsNewerInstance(found->second.process_start_ms,
                          server.process_start_ms)
              ? HostHealth::kGone
@@ -104,13 +106,13 @@
   const auto joins = m_memory.pending_joins.find(departure->group);
   if (joins != m_memory.pending_joins.end() &&
       joins->second.order.epoch == departure->epoch) {
-    // Nobody ordered the group to open.
+    // The group was never ordered to open, so its head holds no requests.
     return false;
   }
   const Duration stall = m_policy.stall + m_policy.stall_margin;
   if (departure->group.empty() || CannotReopen(*departure)) {
-    // The head stands still since its member left, or since it opened after
-    // that, and breaks after the stall.
+    // The head has been stalled since its member left, or since it opened after
+    // that, and breaks at the end of the stall.
     const OpenOrders* opens =
         FindOpenOrders(departure->group, departure->epoch);
     const TimePoint opened_by = opens == nullptr
@@ -137,7 +139,8 @@
   if (m_now - m_memory.term_start.value_or(m_now) >= m_policy.order_ttl) {
     return true;
   }
-  // An earlier controller ordered it to open no later than it was seen open.
+  // The open order of an earlier controller was sent no later than the head was
+  // first seen open.
   const auto open_since =
       m_input.directory.OpenSince(departure.group, departure.epoch);
   return open_since && departure.left_at - *open_since >= m_policy.order_ttl;
@@ -198,8 +201,8 @@
         server == nullptr || HasStaged(*server, entry.second.model);
     return done || m_now - entry.second.at > LoadTimeout();
   });
-  // Nothing that was sent before it is under way any more, and what the head
-  // had stands still and has broken.
+  // After this, no earlier order is in transit, and a head without its members
+  // has stalled and broken.
   const Duration settled =
       m_policy.order_ttl + m_policy.stall + m_policy.stall_margin;
   std::erase_if(m_memory.open_orders, [this, settled](const auto& entry) {
@@ -309,7 +312,7 @@
     wanted[model.name] = groups;
     left -= groups * model.members;
   }
-  // Hosts that are left over go to the models furthest below their share.
+  // Remaining hosts go to the models furthest below their share.
   bool placed = true;
   while (placed) {
     placed = false;
--- a/source/replica_reconcile.cc
+++ b/source/replica_reconcile.cc
@@ -2,7 +2,7 @@
 
 #include "replica_pass.h"
 
-/// The part of the planner that opens groups, and takes broken ones apart.
+/// Part of the planner that opens complete groups and dissolves broken ones.
 
 namespace filbertrack {
 
@@ -84,14 +84,14 @@
                         server->membership->group == join.order.group;
     if (!joined) {
       missing.push_back(member);
-      // Until it begins it must not go to another group.
+      // Not available for another group until it has started to join.
       MarkBusy(member);
     }
   }
   if (due && !missing.empty()) {
     join.last_sent = m_now;
     m_orders.push_back(
-        {join.order, "a member did not begin to join", std::move(missing)});
+        {join.order, "a member has not started to join", std::move(missing)});
   }
 }
 
@@ -179,7 +179,8 @@
       if (IsBusy(head->id)) {
         return;
       }
-      // Members that only leave in an orderly way let the requests end.
+      // If all members answer and none has left or restarted, running requests
+      // may finish.
       const bool graceful =
           !replica.interrupted &&
           std::none_of(replica.members.begin(), replica.members.end(),
@@ -218,8 +219,8 @@
   if (head == nullptr && OrderUnregisteredHead(replica)) {
     return;
   }
-  // The head may live behind a partition and hold requests. Without its
-  // members it stands still, and refuses them after the stall.
+  // The head may be alive behind a network partition and hold requests. Without
+  // its members it stalls, and refuses the requests at the end of the stall.
   for (const BackendServer* member : replica.members) {
     if (member == nullptr || member == head || !IsUsable(member) ||
         IsBusy(member->id)) {
@@ -246,10 +247,10 @@
   MarkBusy(head->id);
   if (m_now == since) {
     AddOrder(CloseGroup{head->id, replica.group, replica.epoch, false},
-             "the head is not registered any more");
+             "the head is no longer registered");
   } else {
     AddOrder(LeaveGroup{head->id, replica.group, replica.epoch},
-             "the head is not registered any more");
+             "the head is no longer registered");
   }
   return m_now - since < 2 * m_policy.order_retry;
 }
@@ -257,7 +258,7 @@
 void ReplicaPass::Disband(const ReplicaView& replica) {
   const BackendServer& head = *replica.head();
   if (head.membership->state == MembershipState::kJoining) {
-    // Nobody can have ordered it to open.
+    // A head that is still joining cannot have been ordered to open.
     m_released.insert(head.id);
     ReleaseMembers(replica);
     return;
@@ -265,7 +266,7 @@
   if (!IsBusy(head.id)) {
     MarkBusy(head.id);
     AddOrder(LeaveGroup{head.id, replica.group, replica.epoch},
-             "the group is taken apart");
+             "the group is dissolved");
   }
 }
 
--- a/source/replica_stage.cc
+++ b/source/replica_stage.cc
@@ -2,16 +2,16 @@
 
 #include "replica_pass.h"
 
-/// The part of the planner that has weights fetched ahead.
+/// Part of the planner that loads weights in advance.
 
 namespace filbertrack {
 
 namespace {
 
-/// Need for a further group of a model of which none is missing, beside the
-/// part of the wanted ones that is missing.
+/// Need for a further group of a model that lacks none; added to the missing
+/// fraction of the wanted groups.
 constexpr double kMinNeed = 0.2;
-/// Chance, as a rough guess, that a group loses a member while one load runs.
+/// Estimated probability that a group loses a member during one load.
 constexpr double kLossProbability = 0.4;
 
 }  // namespace
@@ -34,7 +34,7 @@
   if (!m_input.loads_known) {
     return false;
   }
-  // A group larger than the limit is loaded alone.
+  // A group with more members than the limit is loaded on its own.
   const size_t concurrent = CountLoading() + count;
   const size_t limit =
       std::max(static_cast<size_t>(m_engine.loads_at_once), count);
@@ -111,7 +111,7 @@
   MarkBusy(host.id);
   RecordLoad(host.id, model.name);
   AddOrder(StageModel{host.id, model.name},
-           "a host without a group loads ahead");
+           "a host without a group loads weights in advance");
 }
 
 void ReplicaPass::StageSpares() {
--- a/tests/fake_fleet.h
+++ b/tests/fake_fleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Hosts that obey orders as the users' page says, for tests of the planner.
+/// Simulated hosts for tests of the planner.
 
 #include <algorithm>
 #include <limits>
@@ -18,31 +18,30 @@
 
 inline constexpr Duration kStall = Seconds(5);
 
-/// Hosts that obey orders as the platform's page says, and a record of what
-/// must never happen.
+/// Simulated hosts that execute orders as the platform specifies, and a record
+/// of violated invariants.
 class FakeFleet {
  public:
   struct Host {
     BackendServer server;
     bool alive = true;
-    /// Lives, but does not reach the store.
+    /// Alive, but cannot reach the store.
     bool partitioned = false;
     std::optional<TimePoint> silent_since;
     uint64_t newest_epoch = 0;
     std::vector<std::string> group_members;
-    /// Under its present group and epoch it was ready once.
+    /// Has been ready in its current group and epoch.
     bool was_ready = false;
-    /// Every group and epoch in which it was ready, in all of its lives.
+    /// Every group and epoch in which it has been ready, across restarts.
     std::set<std::pair<std::string, uint64_t>> ready_in;
     std::optional<TimePoint> ready_at;
-    /// The join under way fetches the weights, which takes the place of what
-    /// the host has.
+    /// The join in progress fetches weights, which replace those on the host.
     bool loads = false;
     std::optional<TimePoint> staged_at;
     std::string staging;
-    /// Of a head: since when a member is missing.
+    /// For a head: since when a member has been missing.
     std::optional<TimePoint> incomplete_since;
-    /// Group that the host was last in, and its head.
+    /// The latest group of the host, and its head.
     std::string last_head;
     std::string last_group;
   };
@@ -63,8 +62,8 @@
     m_hosts[host.server.id] = host;
   }
 
-  /// The process ends and starts again under its id: it is in no group, knows
-  /// no epoch and has no weights in memory; those on the host's disk stay.
+  /// Restarts the process under the same id: it is in no group, knows no epoch
+  /// and has no weights in memory; weights on the host's disk remain.
   static void Restart(Host& host) {
     ++host.server.process_start_ms;
     host.server.membership.reset();
@@ -90,8 +89,9 @@
     return it->second;
   }
 
-  /// An order arrives, is lost, or arrives seconds late. True if every host
-  /// that it went to answered.
+  /// Sends an order to its hosts. Each delivery fails with probability `late`:
+  /// it is lost, or arrives 2 to 12 s later. Returns true if all hosts
+  /// answered.
   bool Send(const PlannedOrder& planned, TimePoint now, double late) {
     const ReplicaOrder& order = planned.order;
     if (const auto* join = std::get_if<JoinGroup>(&order)) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /// Registrations and direct answers as the controller sees them.
+  /// Updates registrations and probe results to what the controller sees.
   void ReportTo(ServerDirectory& directory,
                 HostProbeResults& probe_results,
                 TimePoint now) {
@@ -157,11 +157,11 @@
     }
   }
 
-  /// Changed registrations that the store takes between two looks; the others
-  /// wait for their turn.
+  /// Limits the changed registrations that the store accepts per pass; the
+  /// others wait.
   void SetMaxReportsPerPass(size_t most) { m_max_shown = most; }
 
-  /// Loads take a tenth of their time before the first request.
+  /// Before traffic, loads take a tenth of their usual time.
   void SetTraffic(bool traffic) { m_traffic = traffic; }
 
   int CountServing() const {
@@ -182,7 +182,7 @@
     ReplicaOrder order;
   };
 
-  /// All hosts, from the one after the last that was shown on.
+  /// Ids of all hosts, starting after the one that was reported last.
   std::vector<std::string> ReportOrder() const {
     std::vector<std::string> order;
     for (const auto& [id, host] : m_hosts) {
@@ -235,7 +235,7 @@
     return Execute(id, order, now);
   }
 
-  /// False where nobody answers.
+  /// Returns false if the host does not answer.
   bool Execute(const std::string& id,
                const ReplicaOrder& order,
                TimePoint now) {
@@ -315,7 +315,7 @@
   void CheckOpen(const Host& head) {
     for (const std::string& id : head.group_members) {
       const auto member = m_hosts.find(id);
-      // Also one that was lost or left since must have been ready here once.
+      // A member that was lost or left since must also have been ready here.
       const bool fine =
           member != m_hosts.end() &&
           member->second.ready_in.contains(
@@ -326,7 +326,7 @@
     }
   }
 
-  /// A host must not join another group while the head of its last one could
+  /// A host must not join another group while the head of its previous one can
   /// run requests.
   void CheckJoin(const Host& host, const JoinGroup& join, TimePoint now) {
     if (host.last_group.empty() || host.last_group == join.group) {
--- a/tests/replica_run.h
+++ b/tests/replica_run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One controller's planner over a fake fleet, for tests of the planner.
+/// Runs the planner of one controller on a simulated fleet.
 
 #include "fake_fleet.h"
 #include "filbertrack/replica_plan.h"
@@ -21,7 +21,7 @@
   return {"llm", 300, engine};
 }
 
-/// One controller over a fake fleet.
+/// One controller that manages a simulated fleet.
 struct PlannerRun {
   explicit PlannerRun(uint64_t seed) : fleet(seed) {
     for (int domain = 0; domain < 3; ++domain) {
--- a/tests/replicas_faults_test.cc
+++ b/tests/replicas_faults_test.cc
@@ -5,16 +5,17 @@
 
 #include "replica_run.h"
 
-/// What must hold whatever is lost, late or done twice.
+/// Invariants of the planner under lost, delayed and duplicated orders.
 
 namespace filbertrack {
 namespace {
 
-/// Random faults for 40 s, also restarts of hosts under their ids where wanted;
-/// the first violation, or nothing.
+/// Injects random faults for 40 s, with `restarts` also restarts of hosts under
+/// their ids. Returns the first violation; empty if there is none.
 std::string RunWithFaults(uint64_t seed, bool restarts = false) {
   PlannerRun run(seed);
-  // Apart, so that the other faults of a seed are the same with and without.
+  // A separate generator, so that the other faults of a seed are the same with
+  // and without restarts.
   std::mt19937_64 restart_random(seed + 1);
   std::mt19937_64 random(seed);
   const auto chance = [&random](double part) {
@@ -47,7 +48,8 @@
   return run.fleet.violations().empty() ? "" : run.fleet.violations().front();
 }
 
-TEST_CASE("no host serves in two groups and no group opens unready") {
+TEST_CASE(
+    "no host serves in two groups and no group opens before it is ready") {
   REQUIRE(rc::check("random faults", [](uint64_t seed) {
     const std::string violation = RunWithFaults(seed);
     if (!violation.empty()) {
@@ -57,10 +59,10 @@
 }
 
 TEST_CASE("hosts that restart under their ids serve in one group only") {
-  // A member or a head ends and starts again between any two orders; its entry
-  // in the store, orders to its earlier process and those of an earlier
-  // controller arrive late. Nothing that was believed of the earlier process
-  // may open a group that is not whole.
+  // A member or a head restarts between any two orders. Its entry in the store,
+  // orders to its earlier process and those of an earlier controller arrive
+  // late. State of the earlier process must not lead to opening an incomplete
+  // group.
   REQUIRE(rc::check("random faults and restarts", [](uint64_t seed) {
     const std::string violation = RunWithFaults(seed, true);
     if (!violation.empty()) {
@@ -70,16 +72,19 @@
 }
 
 TEST_CASE("seeds that failed once") {
-  // Each is a run of the property above in which a host once joined a group
-  // while the head of its last one could run requests:
-  // an order to open that went astray arrived before a join (38863981679,
-  // 19936, 15738, 5431798); a late join completed a group that was given up
-  // (203908499675382, 2445121976441, 14746254939895842); a head came back and
-  // opened anew (3072527263); a member's own entry lapsed while it was held
-  // (69671153244943, 2854481045377); an order to stand by arrived late and
-  // ended the time for which its host was held (19); an order to join was given
-  // again after the head had left (573855836725178804), or to the head itself
-  // (509858).
+  // Each is a run of the property above in which a host joined a group while
+  // the head of its previous one could run requests:
+  // - a delayed open order arrived before a join (38863981679, 19936, 15738,
+  //   5431798);
+  // - a late join completed a group that had been abandoned (203908499675382,
+  //   2445121976441, 14746254939895842);
+  // - a head came back and opened again (3072527263);
+  // - a member's own entry lapsed while it was quarantined (69671153244943,
+  //   2854481045377);
+  // - a late order to join a standby group ended the quarantine of its host
+  //   (19);
+  // - a join order was sent again after the head had left (573855836725178804),
+  //   or to the head itself (509858).
   for (const uint64_t seed :
        {38863981679ULL, 19936ULL, 15738ULL, 5431798ULL, 203908499675382ULL,
         2445121976441ULL, 14746254939895842ULL, 3072527263ULL,
--- a/tests/replicas_test.cc
+++ b/tests/replicas_test.cc
@@ -10,19 +10,20 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("from nothing, groups of both models serve within the lead time") {
+TEST_CASE("groups of both models form and serve within the lead time") {
   PlannerRun run(1);
   run.PassFor(Seconds(20));
-  // 3 groups of 4 in two domains with 2 spares each, and 7 of 2 from the rest.
+  // 3 groups of 4 in two domains with 2 spares each, and 7 groups of 2 from the
+  // remaining hosts.
   CHECK(run.fleet.CountServing() == 10);
   CHECK(run.fleet.violations().empty());
 }
 
-TEST_CASE("a fleet whose reports come late forms its groups all the same") {
-  // The store takes 40 changed registrations a second, so that 330 hosts have
-  // reported a join only after 8 s. Were a host that took its order free
-  // again until then, it would be ordered into a second group, and the first
-  // one given up; callers found no group at all.
+TEST_CASE("a fleet whose reports are delayed forms its groups") {
+  // The store accepts 40 changed registrations per second, so that 330 hosts
+  // have reported a join only after 8 s. Guards against treating a host as free
+  // before then: it would be ordered into a second group and the first one
+  // abandoned, and no group would ever serve.
   PlannerRun run(1);
   for (int domain = 3; domain < 33; ++domain) {
     for (int i = 0; i < 10; ++i) {
@@ -36,9 +37,9 @@
 }
 
 TEST_CASE("spares count among the hosts of their model") {
-  // Callers of the small model, which has half of the work, meet full groups.
-  // With the spares of the large model on top of its share, the small one had
-  // 24 of 60 hosts.
+  // Guards against refused requests for the small model, which has half of the
+  // work: when the spares of the large model came on top of its share, the
+  // small one had 24 of 60 hosts.
   PlannerRun run(1);
   for (int domain = 3; domain < 6; ++domain) {
     for (int i = 0; i < 10; ++i) {
@@ -58,7 +59,7 @@
   CHECK(groups["small"] == 15);
 }
 
-/// Serving groups of one model.
+/// Number of serving groups of one model.
 int CountServing(PlannerRun& run, const std::string& model) {
   int count = 0;
   for (const auto& [id, host] : run.fleet.hosts()) {
@@ -70,8 +71,9 @@
   return count;
 }
 
-/// A domain loses three members of its only large group; the one that is left
-/// and its two spares are too few for another. Serving small groups 20 s later.
+/// Number of serving small groups 20 s after a domain lost three members of its
+/// only large group; the remaining one and the two spares are too few for
+/// another large group.
 int SmallGroupsAfterLoss(
     const std::map<std::string, double, std::less<>>& pressure) {
   PlannerRun run(1);
@@ -95,19 +97,18 @@
   return CountServing(run, "small");
 }
 
-TEST_CASE(
-    "idle hosts of one model load another whose callers are turned away") {
-  // The mix of requests moves: groups of the small model are full and refuse,
-  // those of the large one are a third full. Three hosts of a broken large
-  // group idle; two of them make a small one.
+TEST_CASE("idle hosts of one model load another whose requests are refused") {
+  // The mix of requests changes: groups of the small model are full and refuse,
+  // those of the large one are one third full. Of the three idle hosts of a
+  // broken large group, two form a small one.
   CHECK(SmallGroupsAfterLoss({{"large", 0.3}, {"small", 1.5}}) == 8);
   CHECK(SmallGroupsAfterLoss({{"large", 1}, {"small", 0.8}}) == 7);
   CHECK(SmallGroupsAfterLoss({}) == 7);
 }
 
-TEST_CASE("no host stands idle where no large group could use it") {
-  // Callers of the small model meet a full fleet while hosts that are kept as
-  // spares serve nobody. Only domains with a large group keep spares.
+TEST_CASE("no host is kept as a spare where no large group could use it") {
+  // Guards against refused requests while hosts that are kept as spares are
+  // idle. Only domains with a large group keep spares.
   PlannerRun run(1);
   run.PassFor(Seconds(20));
   std::map<std::string, int> idle;
@@ -124,9 +125,9 @@
 }
 
 TEST_CASE("a lost member is replaced from a spare of its domain") {
-  // Callers of one group see their streams break; two to three seconds later
-  // as many groups serve as before. The member falls silent; its group's head
-  // lives and is closed, and the others join again with a spare.
+  // A member falls silent. The head of its group is alive and is closed, and
+  // the other members form a new group with a spare, so that as many groups
+  // serve as before within two to three seconds.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   REQUIRE(run.fleet.CountServing() == 10);
@@ -144,10 +145,9 @@
   CHECK(run.fleet.violations().empty());
 }
 
-TEST_CASE("a spare that stands by joins as fast as the members that are left") {
-  // Callers wait for a large group that lost a member. Its spare has the
-  // weights in memory, not only on its disk, so the new group is ready 0.2 s
-  // after the order and not 1.6 s.
+TEST_CASE("a spare with warm weights joins as fast as the remaining members") {
+  // A large group lost a member. The spare has the weights in memory, not only
+  // on disk, so the new group is ready 0.2 s after the order rather than 1.6 s.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
@@ -161,10 +161,11 @@
   CHECK(run.fleet.CountServing() == 10);
 }
 
-TEST_CASE("a head that the store lost leaves its group when it is told to") {
-  // The head of a large group is cut off from the store; its registration
-  // lapses after 3.6 s. It answers orders all the same, so its members serve
-  // again seconds before the stall would have ended.
+TEST_CASE(
+    "a head that lost its registration leaves its group when ordered to") {
+  // The head of a large group is partitioned from the store; its registration
+  // lapses after 3.6 s. It still answers orders, so its members serve again
+  // seconds before the stall would have ended.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
@@ -181,8 +182,8 @@
   CHECK(run.fleet.violations().empty());
 }
 
-/// Seconds from the loss of a member of each small group until as many groups
-/// serve as before, where a third of the orders is not answered.
+/// Seconds from the loss of a member of each of four small groups until only
+/// two groups fewer serve than before. 35 % of the orders are not answered.
 double SecondsToRepair(bool repeats, uint64_t seed) {
   PlannerRun run(seed);
   run.policy.repeats_joins = repeats;
@@ -205,30 +206,32 @@
   return ToSeconds(run.now - begun);
 }
 
-TEST_CASE("orders to join that go unanswered are given again") {
-  // Callers meet full groups while hosts wait for each other: one member joined
-  // and the other never heard of it. Four small groups lost a member each; the
-  // four that are left make two groups. A group that was given up began anew
-  // with three orders that all had to arrive, and held its hosts though nobody
-  // had ordered it to open: 8.7 s until two served.
+TEST_CASE("unanswered join orders are sent again") {
+  // Guards against hosts that wait for each other: one member joined and the
+  // other never received the order. Four small groups lost a member each; the
+  // remaining four members form two groups. Without repeated orders a group was
+  // abandoned and formed again with three orders that all had to arrive, and
+  // its hosts were quarantined although it was never ordered to open: 8.7 s
+  // until two groups served.
   double without_retries = 0;
   double with_retries = 0;
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     without_retries += SecondsToRepair(false, seed) / 40;
     with_retries += SecondsToRepair(true, seed) / 40;
   }
-  MESSAGE("to repair, mean of 40: " << without_retries << " s given up, "
-                                    << with_retries << " s given again");
+  MESSAGE("time to repair, mean of 40 seeds: "
+          << without_retries << " s without repeated orders, " << with_retries
+          << " s with them");
   CHECK(with_retries < 3.5);
   CHECK(with_retries < without_retries);
 }
 
-TEST_CASE("hosts are held for the stall only where no order can arrive late") {
-  // Callers meet full groups while a host that could serve is held. The head of
-  // its group is cut off from the store and then dies, so that neither the
-  // order to close it nor the one to leave is answered. Its order to open was
-  // answered long before: nothing can open it again, and what it holds ends
-  // with the stall.
+TEST_CASE("quarantine ends with the stall where no order can arrive late") {
+  // Guards against a host that is quarantined for too long. The head of its
+  // group is partitioned from the store and then dies, so that neither the
+  // order to close the group nor the one to leave it is answered. The order to
+  // open it was answered long before: nothing can open it again, and its
+  // requests end with the stall.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   const auto is_head = [](const auto& row) {
@@ -251,9 +254,9 @@
   CHECK(run.fleet.violations().empty());
 }
 
-TEST_CASE("hosts of a silent head wait until it can hold no request") {
-  // The head may live behind a partition. Its members leave, so that it stands
-  // still, and join other groups only after the stall.
+TEST_CASE("members of a silent head wait until it can hold no requests") {
+  // The head may be alive behind a network partition. Its members leave, so
+  // that it stalls, and join other groups only at the end of the stall.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   std::string member;
@@ -271,7 +274,7 @@
 }
 
 TEST_CASE(
-    "a leaving member's group ends its requests before it is taken apart") {
+    "a group with a leaving member finishes its requests before it closes") {
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (auto& [id, host] : run.fleet.hosts()) {
@@ -302,9 +305,9 @@
   CHECK(run.fleet.CountServing() == before);
 }
 
-TEST_CASE("loads after traffic began keep to the allowed rate and number") {
-  // Thirty empty hosts come at once. More loads than allowed would make every
-  // one of them slower, and break the weight store's limit.
+TEST_CASE("loads after the start of traffic keep to the permitted number") {
+  // Thirty empty hosts register at once. More loads than permitted would slow
+  // down each of them and exceed the limit of the weight store.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   for (int i = 0; i < 30; ++i) {
@@ -320,9 +323,9 @@
   }
 }
 
-TEST_CASE("a member that restarts under its id is replaced and loads anew") {
-  // Callers wait at a head that stands still. The member's entry is back within
-  // a second and says nothing of the group; the group is taken apart and formed
+TEST_CASE("a group whose member restarts under its id is formed again") {
+  // Guards against requests that wait at a stalled head. The member's entry is
+  // back within a second and names no group; the group is dissolved and formed
   // again, and no host is left over.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
@@ -340,9 +343,9 @@
   CHECK(run.fleet.violations().empty());
 }
 
-TEST_CASE("a host that answers as a later process is no member any more") {
-  // Its registration still shows the group, because the store is away; its own
-  // answer to a question names a later start.
+TEST_CASE("a host that answers as a newer process is no longer a member") {
+  // The registration still shows the group, because the store is unavailable;
+  // the host's own answer to a probe names a later process start.
   PlannerRun run(1);
   run.PassFor(Seconds(25));
   std::string head;
@@ -377,8 +380,9 @@
 }
 
 TEST_CASE("hosts of an evacuated data centre get no orders") {
-  // Guards against groups that are formed, repaired or loaded where nothing may
-  // be sent, and hosts there that count as if they served.
+  // Guards against groups that are formed, repaired or loaded in a data centre
+  // where no orders may be sent, and against counting the hosts there as
+  // serving.
   PlannerRun run(1);
   for (auto& [id, host] : run.fleet.hosts()) {
     host.server.data_centre = host.server.domain;
@@ -389,7 +393,7 @@
   const auto is_there = [&run](const std::string& host) {
     return run.directory.Find(host)->data_centre == "d1";
   };
-  // A member there is lost meanwhile.
+  // A member in the evacuated data centre is lost meanwhile.
   auto& hosts = run.fleet.hosts();
   const auto lost = std::find_if(hosts.begin(), hosts.end(), [](auto& row) {
     return row.second.server.data_centre == "d1" &&
