--- a/include/filbertrack/gossip_exchange.h
+++ b/include/filbertrack/gossip_exchange.h
@@ -1,13 +1,13 @@
 #pragma once
 
-/// When an entry host of a large fleet exchanges loads through the relays of
-/// its data centre, and with which of them.
+/// Schedules the load exchange of an entry host of a large fleet with the
+/// relays of its data centre.
 ///
-/// The load that it is made for: a burst that takes all places of a model.
-/// While places are free, loads that are half a second old place requests well
-/// enough. Once they are taken, each request that is let in by an old load
-/// waits behind those that nobody knew of, and makes the ones behind it late.
-/// So loads are exchanged rarely at rest, and often while it is busy.
+/// The interval depends on the utilisation. While models have free slots, loads
+/// that are half a second old suffice to select targets. During a burst that
+/// takes all slots of a model, a request admitted on outdated loads queues
+/// behind requests unknown to its host and delays those behind it. Loads are
+/// therefore exchanged rarely while the fleet is idle and often under load.
 
 #include <cstddef>
 #include <optional>
@@ -19,17 +19,19 @@
 namespace filbertrack {
 
 struct LoadExchangePolicy {
-  /// Time between two exchanges at rest. Twice this is shorter than loads are
-  /// counted for.
+  /// Time between two exchanges below `loaded_pressure`. Twice this is at most
+  /// FleetGossipPolicy::load_ttl.
   Duration idle_interval = Milliseconds(600);
-  /// The same of a relay with the other data centres.
+  /// The same for exchanges of a relay with the other data centres.
   Duration idle_remote_interval = Milliseconds(300);
-  /// While it is busy: a host begins or ends some one request in it.
+  /// Minimum time between two exchanges from `loaded_pressure` on. A host
+  /// starts or ends about one request in this time.
   Duration loaded_interval = Milliseconds(60);
-  /// It is busy from this pressure on: from here on, some targets are full
-  /// while others have places.
+  /// Pressure from which the short interval applies. From here on, some targets
+  /// are full while others have free slots.
   double loaded_pressure = 0.5;
-  /// Questions that a relay answers in a second: a tenth of half a processor.
+  /// Requests that a relay may receive per second. Answering them takes a tenth
+  /// of half a processor.
   double max_answers_per_s = 300;
 };
 
@@ -37,20 +39,23 @@
  public:
   explicit LoadExchange(LoadExchangePolicy policy) : m_policy(policy) {}
 
-  /// `pressure`: the highest of any model, 1 where all places are taken.
+  /// `pressure` is the highest pressure of any model; 1 means that all slots of
+  /// the model are taken.
   void UpdatePressure(double pressure);
   bool busy() const { return m_busy; }
 
-  /// Time between two exchanges, where so many hosts ask `relays` relays:
-  /// those of the data centre, and the relays of the other ones. `is_relay`: of
-  /// a relay with the other data centres.
+  /// Returns the time between two exchanges if `requesters` hosts share
+  /// `relays` relays; `requesters` counts the hosts of the data centre and the
+  /// relays of the other data centres. `is_relay` selects the interval of a
+  /// relay with the other data centres while the fleet is idle.
   Duration Interval(size_t requesters, size_t relays, bool is_relay) const;
 
-  /// True if an exchange is due; the next one is due an interval later.
+  /// Returns true and starts the next interval if an exchange is due.
   bool TryBegin(Duration interval, TimePoint now);
 
-  /// The relay to ask now: each in turn, so that each of them hears of this
-  /// host, and the loss of one leaves the other. `relays` is not empty.
+  /// Returns the relay to send the next request to. Relays take turns, so that
+  /// each receives the loads of this host and the failure of one leaves the
+  /// others. `relays` must not be empty.
   const std::string& NextRelay(std::span<const std::string> relays);
 
  private:
--- a/include/filbertrack/gossip_fleet.h
+++ b/include/filbertrack/gossip_fleet.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// What an entry host has heard of the others: who lives, who reaches the
-/// store, and what work they have at the targets.
+/// State of the other entry hosts as received by gossip: which are alive, which
+/// reach the store, and their loads at the targets.
 ///
-/// Hosts of one data centre tell each other their own work; hosts of different
-/// ones tell the sum of their data centre. So loads of the own data centre are
-/// fresh however many hosts there are, and those of others cost one message for
-/// a data centre and not one for a host.
+/// Hosts of one data centre exchange their own loads; hosts of different data
+/// centres exchange the sum of their data centre. Local loads are therefore
+/// fresh however many hosts there are, and remote loads cost one message for
+/// each data centre instead of one for each host.
 
 #include <map>
 #include <string>
@@ -21,20 +21,19 @@
 namespace filbertrack {
 
 struct FleetGossipPolicy {
-  /// Loads that were not told for this long are not counted: eight rounds of
-  /// questions.
+  /// Loads older than this are not counted. Eight gossip rounds of 150 ms.
   Duration load_ttl = Milliseconds(1200);
-  /// A host that was not heard of for this long counts as gone.
+  /// A host without an update for this long counts as gone.
   Duration host_ttl = Milliseconds(1500);
-  /// A relay's sum of the own data centre counts instead of what its hosts told
-  /// themselves while it is younger than this: their own words are 250 ms old
-  /// in the mean.
+  /// A relay's sum of the local data centre replaces the loads that the hosts
+  /// sent themselves while it is younger than this. Their own messages are 250
+  /// ms old on average.
   Duration local_sum_ttl = Milliseconds(250);
 };
 
 class FleetGossip {
  public:
-  /// By target.
+  /// Loads by target id.
   using LoadSums = std::map<std::string, TargetLoad, std::less<>>;
 
   FleetGossip(std::string node,
@@ -44,43 +43,49 @@
         m_data_centre(std::move(data_centre)),
         m_policy(policy) {}
 
-  /// A peer's message; `now` is when it came.
+  /// Records the state that a peer sent; `now` is when it was received.
   void Note(const GossipState& state, TimePoint now);
 
-  /// Turns this host's own state into one for a host of another data centre.
+  /// Replaces the loads in `own` by those of the whole local data centre, for a
+  /// receiver in another data centre.
   void CoverDataCentre(GossipState& own, TimePoint now) const;
 
-  /// Adds what was heard of other data centres, for a host of the own one.
+  /// Adds the received loads of the other data centres to `own`, for a receiver
+  /// in the local data centre.
   void AddRemoteLoads(GossipState& own, TimePoint now) const;
 
-  /// Adds the sum of the own data centre, this host included and `asker` left
-  /// out, for that host.
+  /// Adds the sum of the local data centre to `own`, for the receiver
+  /// `requester`. The sum includes this host but not `requester`, which counts
+  /// its own loads itself.
   void AddLocalLoads(GossipState& own,
                      std::string_view requester,
                      TimePoint now) const;
 
   struct Loads {
     LoadSums loads;
-    /// Other hosts that were heard of.
+    /// Number of other live hosts.
     size_t hosts = 0;
-    /// Mean time since what was added up was true at its hosts, by request.
+    /// Mean age of the summed loads at their hosts, weighted by requests.
     Duration age{0};
   };
-  /// Work of all other hosts.
+  /// Returns the loads of all other hosts, each host counted once.
   Loads SumLoads(TimePoint now) const;
 
-  /// Other hosts that were heard of lately, counted and by name.
+  /// Return the number and the names of the other live hosts: those with an
+  /// update within `host_ttl`.
   size_t CountHosts(TimePoint now) const;
   std::vector<std::string> Hosts(TimePoint now) const;
-  /// Those of them that reach the store, as far as they know.
+  /// Returns the live hosts that did not report that the store fails.
   std::vector<std::string> HostsWithStore(TimePoint now) const;
-  /// The same hosts, with what they can carry.
+  /// Returns all other live hosts with their data centre and capacity.
   std::vector<FleetHost> Fleet(TimePoint now) const;
 
+  /// Removes hosts and loads that are older than `host_ttl`.
   void ForgetOld(TimePoint now);
 
-  /// Changes whenever a host is heard for the first time, is forgotten, or is
-  /// another one than before: until then, who does what for the others stays.
+  /// Changes whenever a host is added or removed, or its data centre, capacity
+  /// or access to the store changes. The choice of relays and watchers depends
+  /// on nothing else here, so callers may cache it until then.
   uint64_t membership() const { return m_membership; }
 
  private:
@@ -105,16 +110,18 @@
   bool IsFresh(TimePoint received, TimePoint now) const {
     return now - received <= m_policy.load_ttl;
   }
-  /// The relay's sum of the own data centre; null: there is none, or it is too
-  /// old to stand for what the hosts told themselves.
+  /// Returns a relay's sum of the local data centre; null if there is none or
+  /// it is older than `local_sum_ttl`.
   const ReceivedLoads* LocalSum(TimePoint now) const;
-  /// A host's own message is not counted where its data centre's sum has it.
-  /// `near_covered`: the hosts that the sum of the own data centre has.
+  /// Returns whether the loads of `node` are part of a sum that is counted, so
+  /// that its own message must not be. `covered_hosts` are the hosts in the sum
+  /// of the local data centre.
   bool IsCovered(const std::string& node,
                  const ReceivedState& received,
                  const std::unordered_set<std::string_view>& covered_hosts,
                  TimePoint now) const;
-  /// `own` and the work of the other hosts of the data centre but `left_out`.
+  /// Returns the sum of `own` and the loads of the other local hosts except
+  /// `excluded`.
   DataCentreLoads SumLocalLoads(const std::vector<GossipLoad>& own,
                                 std::string_view excluded,
                                 TimePoint now) const;
@@ -122,9 +129,9 @@
   std::string m_node;
   std::string m_data_centre;
   FleetGossipPolicy m_policy;
-  /// Latest message of each host about itself.
+  /// Latest state that each host sent about itself.
   std::map<std::string, ReceivedState, std::less<>> m_states;
-  /// Latest sum of each other data centre.
+  /// Latest sum of each data centre.
   std::map<std::string, ReceivedLoads, std::less<>> m_data_centre_loads;
   std::map<std::string, KnownHost, std::less<>> m_hosts;
   uint64_t m_membership = 0;
--- a/include/filbertrack/gossip_message.h
+++ b/include/filbertrack/gossip_message.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// What entry hosts of a platform tell each other: the newest configuration,
-/// registrations that the other lacks, and the work that each has at the
-/// targets. At rest a message holds numbers only.
+/// Gossip messages between the entry hosts of a platform. They carry the newest
+/// configuration, the registrations of backend servers that the receiver lacks,
+/// and the loads of each host at the targets. While no configuration and no
+/// registration changes, only their versions are sent.
 
 #include <cstdint>
 #include <optional>
@@ -21,23 +22,24 @@
 
 inline constexpr uint64_t kGossipProtocol = 3;
 
-/// Work of the sender at one target.
+/// Load of the sender at one target.
 struct GossipLoad {
   std::string target;
   int requests = 0;
   double prompt_tokens = 0;
 };
 
-/// An entry host, as far as the choice of who does what for the others goes.
+/// Properties of an entry host that decide whether it watches the store or
+/// relays loads for the others.
 struct FleetHost {
   std::string name;
   std::string data_centre;
-  /// What its link and its processor can carry (CapacityOf()).
+  /// Capacity of its link and processor, see CapacityOf().
   int capacity = 0;
   bool store_fails = false;
 };
 
-/// A host that the sender heard of.
+/// Another entry host as the sender knows it.
 struct GossipHost {
   std::string name;
   bool store_fails = false;
@@ -45,108 +47,121 @@
   int capacity = 0;
 };
 
-/// The work of all hosts of a data centre.
+/// Sum of the loads of the hosts of a data centre.
 struct DataCentreLoads {
   std::string data_centre;
   Duration age{0};
   std::vector<GossipLoad> loads;
-  /// The hosts that `loads` covers.
+  /// The hosts that `loads` includes.
   std::vector<GossipHost> hosts;
 };
 
-/// How far the sender knows the store.
+/// State of the sender: its versions of the data of the store, its access to
+/// the store and its loads.
 struct GossipState {
   std::string node;
   std::string data_centre;
-  /// Where the sender answers questions of peers.
+  /// Address at which the sender accepts gossip requests.
   std::string address;
   bool ready = false;
   int capacity = 0;
-  /// The sender tried to watch the store lately and could not.
+  /// The sender recently tried to watch the store and failed.
   bool store_fails = false;
-  /// How long ago the store came back after an outage; nullopt: not lately.
+  /// Time since the store became available again after an outage; nullopt if
+  /// there was no recent outage.
   std::optional<Duration> store_back_for;
   uint64_t config_version = 0;
   uint64_t servers_revision = 0;
-  /// Work of the sender, or of all hosts of its data centre.
+  /// Loads of the sender or, with `covers_data_centre`, the sum of its data
+  /// centre.
   std::vector<GossipLoad> loads;
   bool covers_data_centre = false;
-  /// The hosts beside the sender that `loads` covers.
+  /// The hosts other than the sender that `loads` includes.
   std::vector<GossipHost> hosts;
-  /// Data centres that are evacuated.
+  /// Evacuated data centres; omitted from the message if the revision is 0.
   EvacuationUpdate evacuations;
-  /// What the sender heard of other data centres, for hosts of its own; and the
-  /// sum of its own one without the receiver's part, where that is wanted.
+  /// Sums of other data centres, for a receiver in the sender's data centre.
+  /// With GossipRequest::wants_local_loads also the sum of the sender's own
+  /// data centre without the receiver's loads.
   std::vector<DataCentreLoads> remote_loads;
 };
 
 struct GossipRequest {
   GossipState state;
-  /// A newer configuration may be sent. A host asks one peer at a time for it:
-  /// large ones from several at once would fill the link of a small host.
+  /// The reply may include a newer configuration. A host sets this for one peer
+  /// at a time, because large configurations from several peers at once would
+  /// saturate the link of a small host.
   bool wants_config = false;
-  /// The same for registrations: eight peers that each sent 760 changed ones
-  /// took the link of a host of 20 Mbit/s for a second.
+  /// The same for registrations. Eight peers that each sent 760 changed
+  /// registrations saturated a link of 20 Mbit/s for a second.
   bool wants_servers = false;
-  /// Sums of other data centres are wanted.
+  /// Requests the sums of other data centres.
   bool wants_remote_loads = false;
-  /// The answerer's facts of requests under which servers end are known up to
-  /// this revision of its own.
+  /// Revision of the replier up to which the requester has its facts about
+  /// poison requests, that is, requests during which backend servers end.
   uint64_t known_poison_revision = 0;
-  /// The sum of the answerer's own data centre is wanted, without the asker's
-  /// part.
+  /// Requests the sum of the replier's data centre without the requester's
+  /// loads.
   bool wants_local_loads = false;
-  /// The answerer's words of limits that servers name are known up to this
-  /// revision of its own.
+  /// Revision of the replier up to which the requester has its records of the
+  /// rate limits of backend servers.
   uint64_t known_limits_revision = 0;
 };
 
 struct GossipReply {
   GossipState state;
-  /// The answerer's configuration, compressed, where the asker wants it.
+  /// Compressed configuration of the replier; empty unless it was requested and
+  /// is newer than that of the requester.
   std::string config;
-  /// Registrations that the asker lacks, up to `state.servers_revision`.
+  /// Registrations that the requester lacks, up to `state.servers_revision`.
   std::vector<LoggedObject> servers;
-  /// `servers` is all there are.
+  /// `servers` holds all existing registrations, not only changes.
   bool servers_complete = false;
-  /// What the asker lacks of the answerer's facts. At rest a number only.
+  /// Facts about poison requests that the requester lacks; only a revision if
+  /// there are none.
   PoisonUpdate poison;
-  /// The same of the limits that servers name.
+  /// Rate limits of backend servers that the requester lacks.
   LimitUpdate limits;
 };
 
 std::string EncodeGossipRequest(const GossipRequest& request);
 std::string EncodeGossipReply(const GossipReply& reply);
 
-/// Refuse bytes of another protocol version or shape.
+/// Fail with kBadRequest if the bytes are not CBOR, have another protocol
+/// version, message kind or structure, or hold a number that is out of range.
 Result<GossipRequest> DecodeGossipRequest(std::string_view bytes);
 Result<GossipReply> DecodeGossipReply(std::string_view bytes);
 
-/// What a host can carry, to compare hosts of one fleet: its link in Mbit/s
-/// times its share of a processor. At least 1.
+/// Returns the capacity of a host, which compares the hosts of a fleet: the
+/// bandwidth of its link in Mbit/s times its share of a processor, at least 1.
 int CapacityOf(double link_mbps, double processor_share);
 
-/// Whether `left` is of a higher class than `right`: classes are a factor of
-/// two in capacity apart, so that hosts of about the same kind share the work.
+/// Returns whether the capacity `left` is in a higher class than `right`.
+/// Classes are powers of two, so that hosts of similar capacity share the work.
 bool IsStronger(int left, int right);
 
-/// Of hosts of one class, those with the highest weight watch the store.
+/// Returns the rendezvous weight of a host as a watcher of the store. Among
+/// hosts of one capacity class, those with the highest weights are chosen.
 uint64_t WatchWeight(std::string_view host);
 
-/// The entry hosts that watch the store for all the others, so that each host
-/// knows without asking: the strongest, by rendezvous hashing among hosts of
-/// one class. One in each data centre, so that changes pass between data
-/// centres once and not once for each host, and at least `count`. A change
-/// costs as many calls as there are watchers, however many hosts there are.
+/// Returns the entry hosts that watch the store on behalf of all others. Hosts
+/// that know the same `hosts` choose the same watchers without coordination:
+/// the highest capacity class first, by rendezvous hashing within a class. One
+/// watcher is chosen in each data centre, so that a change is sent between data
+/// centres once instead of once for each host, and at least `count` in all if
+/// there are as many hosts. A change costs as many calls of the store as there
+/// are watchers, however many hosts there are.
 std::vector<std::string> ChooseWatchers(std::vector<FleetHost> hosts,
                                         size_t count);
 
-/// The `count` hosts, of the given ones of one data centre, that exchange loads
-/// with other data centres for the rest.
+/// Returns up to `count` of the given hosts of one data centre that exchange
+/// loads with other data centres on behalf of the rest.
 std::vector<std::string> ChooseRelays(std::vector<FleetHost> hosts,
                                       size_t count);
 
-/// What to answer, given what both sides have. `own_config` is compressed.
+/// Creates the reply to `request`: `own` and, if requested, the configuration
+/// and the registrations that are newer than those of the requester.
+/// `own_config` is compressed.
 GossipReply MakeGossipReply(const GossipState& own,
                             const std::string& own_config,
                             const ChangeLog& servers,
--- a/include/filbertrack/gossip_watchers.h
+++ b/include/filbertrack/gossip_watchers.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Whether an entry host watches the store for the others.
+/// Decides whether an entry host watches the store on behalf of the others.
 ///
-/// The load that it is made for: a fleet that starts at one moment. Listings
-/// of the hosts may be seconds old and show a part of them, and to hear of all
-/// takes the longer the more there are. A host that chose among those that it
-/// knows would find itself among the first, and so would nearly every other:
-/// each of them would list the store and be told each change by it.
+/// The decision is designed for a fleet whose hosts all start at once. Host
+/// listings may then be seconds old and incomplete, and gossip takes longer to
+/// reach all hosts the more there are. If each host chose watchers among the
+/// hosts that it knows, nearly every host would choose itself, list the store
+/// and receive each change from it.
 
 #include <span>
 
@@ -16,40 +16,42 @@
 namespace filbertrack {
 
 struct WatchPolicy {
-  /// Entry hosts that watch the store, at least. Four: with a third of the
-  /// hosts cut off from it, all four are in one run of a hundred, and then the
-  /// next ones watch as soon as they hear so.
+  /// Minimum number of entry hosts that watch the store. With a third of the
+  /// hosts cut off from the store, all four watchers are cut off in one of a
+  /// hundred cases; the next hosts then take over as soon as gossip reports it.
   size_t watchers = 4;
-  /// After its start a host watches only after this over its capacity: the
-  /// weaker it is, the surer that stronger ones do, whether it has heard of
-  /// them yet or not.
+  /// A host does not watch before this time divided by its capacity has passed
+  /// since its start, at most `max_wait`. The weaker a host is, the more likely
+  /// stronger ones watch, even if none of their messages has arrived yet.
   Duration weak_host_delay = Seconds(8);
-  /// In a fleet that starts for the first time, when no host is listed yet,
-  /// hosts that are as strong as each other begin over this time, in the order
-  /// in which they would be chosen: listings of the others are that old at the
-  /// most.
+  /// When a fleet starts for the first time, no host is listed yet. Hosts of
+  /// the same capacity class then begin to watch spread over this time, in the
+  /// order in which they would be chosen. It equals the maximum age of a
+  /// listing.
   Duration first_start_spread = Seconds(3);
-  /// No host waits longer: none may be stronger.
+  /// Maximum wait, since there may be no stronger host.
   Duration max_wait = Seconds(4);
-  /// So long after the start hosts that are listed count as there though they
-  /// were not heard, unless half of them were.
+  /// For this time after the start, listed hosts count as alive even if no
+  /// message of them was received, until messages of half of them were.
   Duration listed_grace_period = Seconds(8);
 };
 
-/// What a host knows as it decides.
+/// Input of the decision: what a host knows of the fleet.
 struct WatchView {
   FleetHost own;
   Duration since_start{0};
   /// The whole fleet starts for the first time.
   bool first_start = false;
-  /// The list of hosts was read.
+  /// The list of hosts has been read.
   bool has_list = false;
-  /// Other hosts that are listed, but for those that do not answer.
+  /// Other listed hosts, without those that do not answer requests.
   std::span<const FleetHost> listed;
-  /// Other hosts that were heard of lately.
+  /// Other live hosts according to gossip.
   std::span<const FleetHost> live;
 };
 
+/// Returns whether the host watches the store: it is one of the watchers, or
+/// replaces one that cannot reach the store.
 bool ShouldWatch(const WatchView& view, const WatchPolicy& policy);
 
 }  // namespace filbertrack
--- a/source/gossip_fleet.cc
+++ b/source/gossip_fleet.cc
@@ -15,7 +15,7 @@
   }
 }
 
-/// Mean age of what several messages said, by request.
+/// Mean age of the loads of several messages, weighted by requests.
 class MeanAge {
  public:
   void Add(const std::vector<GossipLoad>& loads, Duration age) {
@@ -33,7 +33,7 @@
   double m_age_s = 0;
 };
 
-/// Mean age, when the sum was made, of what its hosts had told.
+/// Returns the mean age of the hosts' loads at the time they were summed.
 Duration MeanReportAge(const std::vector<GossipHost>& hosts) {
   Duration all{0};
   for (const GossipHost& host : hosts) {
--- a/source/gossip_limits.cc
+++ b/source/gossip_limits.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Null stands for a limit that ended.
+/// Null means that the server no longer names a limit.
 std::optional<double> ReadLimit(const Json& value) {
   if (value.is_null()) {
     return std::nullopt;
   }
   const auto limit = value.get<double>();
   if (!std::isfinite(limit) || limit < 0) {
-    throw InvalidField{value.dump() + " is no limit of requests, 0 or more."};
+    throw InvalidField{value.dump() + " is not a request limit of 0 or more."};
   }
   return limit;
 }
--- a/source/gossip_limits.h
+++ b/source/gossip_limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Limits that servers name, as peers' messages hold them.
+/// Encoding of the rate limits of backend servers in gossip messages.
 
 #include <nlohmann/json.hpp>
 
@@ -10,7 +10,7 @@
 
 nlohmann::json PackLimits(const LimitUpdate& update);
 
-/// Throws as the reading of a peer's message does.
+/// Throws nlohmann::json::exception or InvalidField if `value` is malformed.
 LimitUpdate UnpackLimits(const nlohmann::json& value);
 
 }  // namespace filbertrack
--- a/source/gossip_message.cc
+++ b/source/gossip_message.cc
@@ -20,25 +20,24 @@
 
 namespace {
 
-/// Stands for a time that did not come.
+/// Encodes an absent duration.
 constexpr int64_t kNoDuration = -1;
-/// Unpacked registrations of one message: 3,300 of some hundred bytes each take
-/// a tenth of it.
+/// Size limit of the decompressed registrations of one message. 3,300
+/// registrations of some hundred bytes each take a tenth of it.
 constexpr size_t kMaxServersBytes = 16 * 1024 * 1024;
-/// Capacities are compared as whole numbers.
+/// Keeps capacities within the range of an int, in which they are compared.
 constexpr double kMaxCapacity = 1e9;
 
 constexpr std::string_view kWatchPurpose = "watch";
-/// Tokens that wait at one target.
+/// Maximum number of prompt tokens at one target.
 constexpr int64_t kMaxTokens = 1'000'000'000'000;
 
-/// Place of the evacuations in a host's state.
+/// Index of the evacuations in the encoded state of a host.
 constexpr size_t kEvacuationsField = 13;
-/// Place of what concerns requests under which servers end, in questions and
-/// answers alike.
+/// Index of the data about poison requests, in requests and replies alike.
 constexpr size_t kPoisonField = 4;
 constexpr size_t kWantsNearField = 5;
-/// Places of what concerns the limits that servers name.
+/// Indexes of the data about rate limits of backend servers.
 constexpr size_t kLimitsKnownField = 6;
 constexpr size_t kLimitsField = 5;
 
@@ -98,7 +97,7 @@
        state.config_version, state.servers_revision, PackLoads(state.loads),
        state.data_centre, state.covers_data_centre, PackHosts(state.hosts),
        state.capacity, std::move(remote_loads)});
-  // Left out where there is nothing to tell, as most of the time.
+  // Usually there are none; omitting the field saves its bytes.
   if (state.evacuations.revision != 0) {
     fields.push_back(Json::array(
         {state.evacuations.revision, state.evacuations.data_centres}));
@@ -142,8 +141,8 @@
   return Json::binary(std::vector<uint8_t>(text.begin(), text.end()));
 }
 
-/// Registrations are texts that are much alike: packed, 760 of them take an
-/// eighth of their bytes.
+/// Compresses registrations, which are similar to each other: 760 of them
+/// shrink to an eighth of their size.
 Json PackServers(const std::vector<LoggedObject>& servers) {
   if (servers.empty()) {
     return ToBytes("");
@@ -165,7 +164,7 @@
                  kMaxServersBytes);
   const auto rows = bytes ? ParseCbor(*bytes) : std::nullopt;
   std::vector<LoggedObject> servers;
-  // Bytes that cannot be unpacked make no array, and at() below throws.
+  // If decompression or parsing failed, at() throws on the null row below.
   for (const Json& row : rows ? *rows : Json::array({Json()})) {
     servers.push_back({row.at(0).get<std::string>(), ReadVersion(row.at(1)),
                        row.at(2).get<std::string>()});
@@ -178,36 +177,35 @@
       {kGossipProtocol, static_cast<int>(kind), std::move(body)});
 }
 
-/// Runs `read` over the body of a message of this kind.
+/// Checks the protocol version and the message kind, and decodes the body with
+/// `read`. Turns exceptions of `read` into a kBadRequest failure.
 template <typename Message, typename Read>
 Result<Message> Decode(std::string_view bytes,
                        GossipMessageKind kind,
                        Read read) {
   const auto value = ParseCbor(bytes);
   if (!value) {
-    return Fail(ResultCode::kBadRequest, "a peer sent bytes that are no CBOR.");
+    return Fail(ResultCode::kBadRequest, "peer message is not valid CBOR.");
   }
   try {
     if (ReadVersion(value->at(0)) != kGossipProtocol) {
       return Fail(ResultCode::kBadRequest,
-                  "a peer speaks protocol " + value->at(0).dump() +
-                      "; this host speaks " + std::to_string(kGossipProtocol) +
-                      ".");
+                  "peer message has protocol version " + value->at(0).dump() +
+                      "; expected " + std::to_string(kGossipProtocol) + ".");
     }
     if (ReadCount(value->at(1)) != static_cast<int>(kind)) {
       return Fail(ResultCode::kBadRequest,
-                  "a peer sent a message of kind " + value->at(1).dump() +
+                  "peer message has kind " + value->at(1).dump() +
                       "; expected " + std::to_string(static_cast<int>(kind)) +
                       ".");
     }
     return read(value->at(2));
   } catch (const Json::exception& error) {
-    return Fail(
-        ResultCode::kBadRequest,
-        std::string("a peer's message cannot be read: ") + error.what());
+    return Fail(ResultCode::kBadRequest,
+                std::string("cannot decode peer message: ") + error.what());
   } catch (const InvalidField& error) {
     return Fail(ResultCode::kBadRequest,
-                "a peer's message cannot be read: " + error.message);
+                "cannot decode peer message: " + error.message);
   }
 }
 
@@ -235,7 +233,7 @@
       bytes, GossipMessageKind::kAsk, [](const Json& body) {
         GossipRequest request{UnpackState(body.at(0)), body.at(1).get<bool>(),
                               body.at(2).get<bool>(), body.at(3).get<bool>()};
-        // Hosts of the version before do not tell it.
+        // Hosts of earlier versions do not send the following fields.
         if (body.size() > kPoisonField) {
           request.known_poison_revision = ReadVersion(body.at(kPoisonField));
         }
@@ -280,9 +278,10 @@
   return std::bit_width(static_cast<unsigned>(std::max(1, capacity)));
 }
 
-/// The strongest first; for one purpose always the same order.
+/// Sorts hosts by descending capacity class, then by descending rendezvous
+/// weight for `purpose`. The order does not depend on the order of the input.
 void Rank(std::string_view purpose, std::vector<FleetHost>& hosts) {
-  // Weights are hashes: one for each host, not one for each comparison.
+  // Computes one hash for each host instead of one for each comparison.
   std::vector<std::pair<std::pair<int, uint64_t>, size_t>> ranks;
   ranks.reserve(hosts.size());
   for (const FleetHost& host : hosts) {
--- a/source/gossip_poison.cc
+++ b/source/gossip_poison.cc
@@ -14,10 +14,11 @@
   kTried = 5,
 };
 
-/// Ends under one request: more than a fleet has servers.
+/// Maximum number of server ends and of trials for one request; more than a
+/// fleet has servers.
 constexpr int kMaxEnds = 1'000'000;
 
-/// A fact as [kind, age in ms, ...].
+/// Encodes a fact as [kind, age in ms, ...].
 struct PackFact {
   int64_t age_ms;
 
@@ -48,7 +49,7 @@
 RequestDigest ReadDigest(const Json& value) {
   RequestDigest digest = value.get<std::string>();
   if (!IsRequestDigest(digest)) {
-    throw InvalidField{value.dump() + " is no digest of a request."};
+    throw InvalidField{value.dump() + " is not a request digest."};
   }
   return digest;
 }
@@ -80,7 +81,7 @@
       return TrialsSent{ReadDigest(row.at(2)),
                         ReadInteger<int>(row.at(3), 1, kMaxEnds)};
   }
-  throw InvalidField{row.at(0).dump() + " is no kind of fact."};
+  throw InvalidField{row.at(0).dump() + " is not a fact kind."};
 }
 
 }  // namespace
--- a/source/gossip_poison.h
+++ b/source/gossip_poison.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Facts of requests under which servers end, as peers' messages hold them.
+/// Encoding of facts about poison requests, during which backend servers end,
+/// in gossip messages.
 
 #include <nlohmann/json.hpp>
 
@@ -10,7 +11,7 @@
 
 nlohmann::json PackPoison(const PoisonUpdate& update);
 
-/// Throws as the reading of a peer's message does.
+/// Throws nlohmann::json::exception or InvalidField if `value` is malformed.
 PoisonUpdate UnpackPoison(const nlohmann::json& value);
 
 }  // namespace filbertrack
--- a/source/gossip_read.h
+++ b/source/gossip_read.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads numbers of peers' messages, with their bounds.
+/// Reads numbers from gossip messages and checks their bounds.
 
 #include <cstdint>
 #include <limits>
@@ -15,11 +15,12 @@
 
 using Json = nlohmann::json;
 
-/// Ages and times since an event: messages tell of seconds.
+/// Maximum age or time since an event in a message, in milliseconds; real ones
+/// are of the order of seconds.
 inline constexpr int64_t kMaxAgeMs = 1'000'000'000;
 
-/// A number that the product cannot use: thrown within the reading of one
-/// message only.
+/// Thrown for a field with an invalid value. Caught by the decoding of the
+/// message; does not leave this library.
 struct InvalidField {
   std::string message;
 };
@@ -29,18 +30,20 @@
          !std::in_range<int64_t>(value.get<uint64_t>());
 }
 
-/// A whole number within the bounds. The library casts whatever number it
-/// finds, which is undefined for one that the type cannot hold.
+/// Reads an integer from `min` to `max`; throws InvalidField for any other
+/// value. nlohmann::json::get() casts any number to the requested type, which
+/// is undefined behaviour if the type cannot hold it.
 template <typename Number>
 Number ReadInteger(const Json& value, Number min, Number max) {
-  // As signed; larger ones are refused with those below `least`.
+  // Read as signed. Values above the signed range are mapped to the smallest
+  // integer, which is rejected as below `min`.
   const bool is_integer = value.is_number_integer();
   const int64_t number = is_integer && !IsAboveSigned(value)
                              ? value.get<int64_t>()
                              : std::numeric_limits<int64_t>::min();
   if (!std::in_range<Number>(number) || static_cast<Number>(number) < min ||
       static_cast<Number>(number) > max) {
-    throw InvalidField{value.dump() + " is no whole number from " +
+    throw InvalidField{value.dump() + " is not an integer from " +
                        std::to_string(min) + " to " + std::to_string(max) +
                        "."};
   }
--- a/source/gossip_watchers.cc
+++ b/source/gossip_watchers.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// While few of the listed hosts have been heard, those count as there too.
+/// Returns whether listed hosts count as alive: shortly after the start, while
+/// fewer than half of them are known to be.
 bool CountsListedHosts(const WatchView& view, const WatchPolicy& policy) {
   return view.since_start < policy.listed_grace_period &&
          view.live.size() * 2 < view.listed.size();
@@ -34,18 +35,18 @@
   return hosts;
 }
 
-/// Part of the hosts that begin to watch within the spread; by its end the
-/// others know who is there.
+/// Share of the hosts whose start is spread over `first_start_spread`. The
+/// others wait until its end, by which time they know the live hosts.
 constexpr double kSpreadShare = 0.5;
 
-/// How long after its start a host that knows nobody waits for the others.
+/// Returns how long after its start a host waits for messages of the others.
 Duration StartDelay(const WatchView& view, const WatchPolicy& policy) {
   const Duration weak = std::min(
       policy.max_wait, policy.weak_host_delay / std::max(1, view.own.capacity));
   if (!view.first_start) {
     return weak;
   }
-  // The part of all hosts that would be chosen before this one.
+  // Expected share of all hosts that would be chosen before this one.
   const double before =
       1 - std::ldexp(static_cast<double>(WatchWeight(view.own.name)), -64);
   const Duration rank =
@@ -65,8 +66,8 @@
   std::vector<FleetHost> all = Candidates(view, policy);
   std::vector<FleetHost> able = all;
   std::erase_if(able, [](const FleetHost& host) { return host.store_fails; });
-  // Those that cannot reach the store keep trying, so that the watch returns to
-  // them; others stand in meanwhile.
+  // Watchers that cannot reach the store keep trying, so that the role returns
+  // to them when it is back; other hosts replace them meanwhile.
   const auto first = ChooseWatchers(std::move(all), policy.watchers);
   const auto replacements = ChooseWatchers(std::move(able), policy.watchers);
   const auto has = [&view](const std::vector<std::string>& hosts) {
--- a/tests/gossip_burst_test.cc
+++ b/tests/gossip_burst_test.cc
@@ -27,7 +27,7 @@
 constexpr int kAnswerTokens = 168;
 constexpr Duration kSlo = Milliseconds(300);
 constexpr Duration kStep = Milliseconds(10);
-/// Steps between two rounds of a host, in which it asks eight neighbours.
+/// Steps between two gossip rounds of a host, each with kNeighbours peers.
 constexpr int kRoundSteps = 15;
 constexpr int kNeighbours = 8;
 
@@ -40,16 +40,18 @@
   int on_time = 0;
   int late = 0;
   int refused = 0;
-  /// Believed less true requests at the chosen target, over all placings.
+  /// Sum of the differences between assumed and actual requests at the chosen
+  /// targets.
   double error = 0;
   int sent = 0;
 
   double MeanError() const { return error / sent; }
 };
 
-/// 81 entry hosts of three data centres and 36 groups of 20 places each. For
-/// four seconds callers send `burst` times 545 requests a second, of which the
-/// groups can answer some 600; before and after it, six tenths of that.
+/// Simulates 81 entry hosts in three data centres and 36 groups of 20 slots
+/// each. For four seconds callers send `burst` times 545 requests per second,
+/// before and after that 0.6 times 545. The groups can answer about 600 per
+/// second.
 class BurstReplay {
  public:
   BurstReplay(double burst, LoadExchangePolicy policy, DispatchPolicy dispatch)
@@ -277,36 +279,36 @@
   std::exponential_distribution<double> m_gap{1};
 };
 
-/// Loads are exchanged as rarely under load as at rest.
+/// Returns a policy that exchanges loads as rarely under load as when idle.
 LoadExchangePolicy NeverBusy() {
   LoadExchangePolicy policy;
   policy.loaded_pressure = 1e9;
   return policy;
 }
 
-TEST_CASE("a burst over all places: fresh loads keep late answers few") {
-  // Callers send a little more than all groups can answer. Each host sees a
-  // place or two where others have filled them since it last heard, lets in
-  // what has no place, and everybody waits behind it: answers are late that
-  // were predicted to be on time. Exchanged while it is busy, loads are true
-  // enough that what has no place is refused and the rest is on time.
+TEST_CASE("burst above capacity: fresh loads reduce late answers") {
+  // Callers send slightly more than all groups can answer. With outdated loads
+  // a host admits requests to slots that other hosts have filled meanwhile.
+  // These requests queue, and answers predicted to be on time are late. With
+  // frequent exchanges the excess requests are refused and the others are on
+  // time.
   const BurstResult rare = BurstReplay(1.25, NeverBusy(), {}).Run();
   const BurstResult often = BurstReplay(1.25, {}, {}).Run();
   for (const BurstResult& result : {rare, often}) {
     MESSAGE("of " << result.offered << ": on time " << result.on_time
                   << ", late " << result.late << ", refused " << result.refused
-                  << ", believed less true " << result.MeanError());
+                  << ", mean load error " << result.MeanError());
   }
   CHECK(std::abs(often.MeanError()) < std::abs(rare.MeanError()) * 2 / 3);
   CHECK(often.late < rare.late);
   CHECK(often.on_time > rare.on_time);
 }
 
-TEST_CASE("a burst over all places: who would be late is refused at once") {
-  // Callers send half as much again as all groups can answer. Let in up to
-  // twice their aim, they stand in queues that last as long as the burst, and
-  // every answer waits behind them. Refused, the few without a place hear so at
-  // once, and those who have one are on time.
+TEST_CASE("burst above capacity: requests that would be late are refused") {
+  // Callers send half as much again as all groups can answer. If requests are
+  // admitted up to twice their time objective, the queues last as long
+  // as the burst and delay every answer. If they are refused at once, the
+  // admitted ones are on time.
   DispatchPolicy tolerant;
   tolerant.saturated_slo_factor = tolerant.slo_factor;
   const BurstResult queued = BurstReplay(1.6, {}, tolerant).Run();
@@ -318,7 +320,7 @@
   }
   CHECK(refused.on_time > queued.on_time);
   CHECK(refused.late < queued.late / 2);
-  // What is refused is what has no place, and not more.
+  // No more than the excess requests are refused.
   CHECK(refused.refused < refused.offered / 4);
 }
 
--- a/tests/gossip_exchange_test.cc
+++ b/tests/gossip_exchange_test.cc
@@ -18,16 +18,16 @@
   return state;
 }
 
-/// What the host `a1` hears from the relay `a9`.
+/// Returns the reply of the relay `a9` to the host `a1`.
 GossipState AskRelay(const FleetGossip& relay, TimePoint now) {
   GossipState reply = MakeState("a9", 1);
   relay.AddLocalLoads(reply, "a1", now);
   return reply;
 }
 
-TEST_CASE("loads are exchanged often only while places are taken") {
-  // At rest half a second old loads place well enough, and 13 questions a
-  // second of each host would cost more than what they tell.
+TEST_CASE("loads are exchanged often only under load") {
+  // In an idle fleet loads that are half a second old suffice, and 13 requests
+  // per second of each host would cost more than they gain.
   LoadExchange exchange({});
   const Duration idle = exchange.Interval(27, 2, false);
   exchange.UpdatePressure(0.9);
@@ -36,9 +36,9 @@
   CHECK(exchange.Interval(27, 2, false) == idle);
 }
 
-TEST_CASE("relays are not asked more than they can answer") {
-  // 100 hosts that each ask 16 times a second would fill a relay's link and
-  // processor, and nobody's loads would be fresh.
+TEST_CASE("relays receive no more requests than they can answer") {
+  // Guards against 100 hosts that each send 16 requests per second and saturate
+  // the relay's link and processor, so that all loads become outdated.
   LoadExchange exchange({});
   exchange.UpdatePressure(1);
   for (const size_t hosts : {1U, 27U, 39U, 100U, 150U}) {
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("relays are asked in turn, and no exchange begins too early") {
+TEST_CASE("relays take turns, and no exchange begins too early") {
   LoadExchange exchange({});
   const std::array<std::string, 2> relays = {"r1", "r2"};
   const std::string first = exchange.NextRelay(relays);
@@ -59,9 +59,9 @@
   CHECK(exchange.TryBegin(Milliseconds(60), kStart + Milliseconds(60)));
 }
 
-TEST_CASE("a relay's sum counts each host once, and the asker not at all") {
-  // Counted twice, targets would look full and callers be turned away; with its
-  // own part in the sum, a host would count its own work twice.
+TEST_CASE("a relay's sum counts each host once, without the requester") {
+  // If loads were counted twice, targets would appear full and callers would be
+  // refused. The requester adds its own loads itself.
   FleetGossip relay("a9", "a", {});
   relay.Note(MakeState("a1", 4), kStart);
   relay.Note(MakeState("a2", 3), kStart);
@@ -69,14 +69,14 @@
   here.Note(MakeState("a2", 7), kStart - Milliseconds(200));
   here.Note(MakeState("a3", 2), kStart - Milliseconds(200));
   here.Note(AskRelay(relay, kStart), kStart);
-  // 3 of a2 as the relay heard it and 1 of the relay; a3, of which the relay
-  // has not heard, as it told itself.
+  // 3 of a2 and 1 of the relay, both from the sum, and 2 of a3 from its own
+  // message, since the sum does not include it.
   CHECK(here.SumLoads(kStart).loads.at("t").requests == 6);
 }
 
-TEST_CASE("without the relay the hosts' own words count again") {
-  // The relay is killed, or cut off. Its last sum would otherwise hide for a
-  // second what the others go on telling.
+TEST_CASE("without the relay the hosts' own messages count again") {
+  // Guards against the last sum of a relay that has failed, which would hide
+  // newer messages of the other hosts for a second.
   FleetGossip relay("a9", "a", {});
   relay.Note(MakeState("a2", 3), kStart);
   FleetGossip here("a1", "a", {});
@@ -86,8 +86,8 @@
   CHECK(here.SumLoads(later).loads.at("t").requests == 10);
 }
 
-TEST_CASE("the age of loads is that of what hosts told, not of the sum") {
-  // A sum that was made just now of words that are 300 ms old tells nothing of
+TEST_CASE("the age of loads is that of the host messages, not of the sum") {
+  // A sum made just now from messages that are 300 ms old says nothing about
   // the last 300 ms.
   FleetGossip relay("a9", "a", {});
   relay.Note(MakeState("a2", 3), kStart - Milliseconds(300));
@@ -96,7 +96,7 @@
   CHECK(here.SumLoads(kStart).age >= Milliseconds(100));
 }
 
-TEST_CASE("a question says whether the own data centre's sum is wanted") {
+TEST_CASE("a request specifies whether the sum of the local hosts is wanted") {
   GossipRequest request{MakeState("a1", 3)};
   CHECK_FALSE(
       DecodeGossipRequest(EncodeGossipRequest(request))->wants_local_loads);
--- a/tests/gossip_fleet_test.cc
+++ b/tests/gossip_fleet_test.cc
@@ -23,10 +23,10 @@
   return state;
 }
 
-TEST_CASE("each host's work is counted once") {
-  // A host of another data centre is heard directly and in its data centre's
-  // sum. Counted twice, its targets would look busier than they are, and
-  // callers would be turned away from free places.
+TEST_CASE("the loads of each host are counted once") {
+  // The loads of a remote host arrive directly and in the sum of its data
+  // centre. If they were counted twice, targets with free slots would appear
+  // full and callers would be refused.
   FleetGossip here("a1", "a", {});
   FleetGossip there("b1", "b", {});
   there.Note(MakeState("b2", "b", 3), kStart);
@@ -42,7 +42,7 @@
   CHECK(received.hosts == 3);
 }
 
-TEST_CASE("loads and hosts that were not told lately are forgotten") {
+TEST_CASE("loads and hosts without recent updates expire") {
   FleetGossip gossip("a1", "a", {});
   gossip.Note(MakeState("a2", "a", 5), kStart);
   CHECK(gossip.SumLoads(kStart + Milliseconds(1200)).loads.size() == 1);
@@ -51,9 +51,9 @@
   CHECK(gossip.Hosts(kStart + Milliseconds(1600)).empty());
 }
 
-TEST_CASE("a host hears through others who reaches the store") {
-  // Without it, each data centre would take only its own hosts for alive, and
-  // choose watchers of the store of its own.
+TEST_CASE("access of remote hosts to the store is propagated") {
+  // Otherwise each data centre would consider only its own hosts alive and
+  // choose its own watchers of the store.
   FleetGossip there("b1", "b", {});
   GossipState cut_off = MakeState("b2", "b", 0);
   cut_off.store_fails = true;
@@ -68,7 +68,7 @@
         std::vector<std::string>{"b1"});
 }
 
-TEST_CASE("messages keep what they hold on the way") {
+TEST_CASE("data centre sums survive encoding and decoding") {
   GossipRequest request{MakeState("a1", "a", 3), true};
   request.state.covers_data_centre = true;
   request.state.hosts = {{"a2", true, Milliseconds(40)}};
@@ -82,9 +82,9 @@
   CHECK(read->state.hosts[0].age == Milliseconds(40));
 }
 
-/// 72 entry hosts and 40 groups in four data centres; 473 requests a second,
-/// four fifths of what the groups can take. Each group runs 15 requests at
-/// once, each for about a second.
+/// Simulates 72 entry hosts and 40 groups in four data centres at 473 requests
+/// per second, four fifths of the capacity. Each group runs 15 requests at a
+/// time, each for about a second.
 class Replay {
  public:
   static constexpr int kDataCentres = 4;
@@ -93,7 +93,8 @@
   static constexpr int kSlots = 15;
   static constexpr double kRate = 473;
 
-  /// `near`: hosts tell loads within their data centre and send there first.
+  /// With `local` hosts exchange loads within their data centre and prefer its
+  /// targets.
   explicit Replay(bool local) : m_local(local) {
     CatalogParts parts;
     EngineProfile engine;
@@ -123,7 +124,8 @@
     }
   }
 
-  /// The part of the requests that came to a group whose places were taken.
+  /// Returns the share of requests that were sent to a group without a free
+  /// slot.
   double Run(Duration time) {
     const TimePoint end = kStart + time;
     TimePoint now = kStart;
@@ -168,8 +170,8 @@
     return "dc" + std::to_string(number % kDataCentres);
   }
 
-  /// A fifteenth of the hosts have their round each 10 ms, as each host asks
-  /// eight others every 150 ms.
+  /// Each host exchanges with eight others every 150 ms: every 10 ms it is the
+  /// turn of one fifteenth of the hosts.
   void Exchange(TimePoint now) {
     const auto phase = (now - kStart) / Milliseconds(10) % 15;
     for (size_t i = 0; i < m_hosts.size(); ++i) {
@@ -256,15 +258,16 @@
 };
 
 TEST_CASE(
-    "a busy fleet of many hosts: fresh loads keep requests off full groups") {
-  // Callers wait at groups that are full while others have places. Each host
-  // sends a fiftieth of a group's requests, and what it heard of the others'
-  // was up to 0.6 s old, in which a group gets seven more. Loads of the own
-  // data centre are 0.15 s old.
+    "large fleet under load: fresh loads keep requests from full groups") {
+  // Guards against callers that wait at full groups while others have free
+  // slots. Each host sends a fiftieth of a group's requests. Loads received
+  // from all hosts are up to 0.6 s old, in which a group gets seven more
+  // requests; those of the local data centre are 0.15 s old.
   const double before = Replay(false).Run(Seconds(8));
   const double after = Replay(true).Run(Seconds(8));
-  MESSAGE("met a full group: " << before << " from all, " << after
-                               << " from the own data centre");
+  MESSAGE("share of requests sent to a full group: "
+          << before << " with loads of all hosts, " << after
+          << " with loads of the local data centre");
   CHECK(before > 0.1);
   CHECK(after < before / 2);
 }
--- a/tests/gossip_test.cc
+++ b/tests/gossip_test.cc
@@ -22,7 +22,7 @@
   return state;
 }
 
-TEST_CASE("an answer holds what the asker lacks and no more") {
+TEST_CASE("a reply holds only what the requester lacks") {
   ChangeLog log(10);
   log.Put({"a", 1, "one"});
   log.Put({"b", 5, "two"});
@@ -35,7 +35,7 @@
   CHECK(behind.servers[0].id == "b");
   CHECK(behind.servers[1].text.empty());
   CHECK_FALSE(behind.servers_complete);
-  // A peer that asks elsewhere for the configuration is not sent it again.
+  // A peer that fetches the configuration from another host does not get it.
   CHECK(
       MakeGossipReply(MakeState(3, 6), "config", log, {MakeState(2, 4), false})
           .config.empty());
@@ -51,9 +51,9 @@
   CHECK(ahead.servers.empty());
 }
 
-TEST_CASE("an asker from before the log's memory gets all there is") {
-  // It was cut off for so long that removals it missed are forgotten; what is
-  // not in a whole answer is gone.
+TEST_CASE("a requester from before the start of the log gets all objects") {
+  // The requester was cut off for so long that the log no longer holds removals
+  // it missed. Objects that are not in a complete reply do not exist any more.
   ChangeLog log(1);
   log.Put({"a", 1, "one"});
   log.Put({"b", 2, ""});
@@ -66,7 +66,7 @@
   CHECK(reply.servers[0].id == "a");
 }
 
-TEST_CASE("messages arrive as they were sent") {
+TEST_CASE("messages survive encoding and decoding") {
   const GossipRequest request{MakeState(7, 9)};
   const auto read = DecodeGossipRequest(EncodeGossipRequest(request));
   REQUIRE(read);
@@ -85,7 +85,7 @@
   CHECK(got->servers_complete);
 }
 
-TEST_CASE("a return of the store is told with its age") {
+TEST_CASE("a return of the store is sent with its age") {
   GossipRequest request{MakeState(1, 2)};
   CHECK_FALSE(
       DecodeGossipRequest(EncodeGossipRequest(request))->state.store_back_for);
@@ -95,7 +95,7 @@
       Milliseconds(1500));
 }
 
-TEST_CASE("all hosts choose the same watchers, and losing one changes one") {
+TEST_CASE("all hosts choose the same watchers, and losing one replaces one") {
   REQUIRE(rc::check("watchers", [] {
     const auto count = *rc::gen::inRange(1, 60);
     std::vector<FleetHost> hosts;
@@ -114,9 +114,10 @@
   }));
 }
 
-TEST_CASE("the strongest hosts watch, one in each data centre") {
-  // A host of 20 Mbit/s that passed 760 registrations on to 195 hosts took its
-  // link for seconds, and took those that it asked for lost.
+TEST_CASE("the hosts of highest capacity watch, one in each data centre") {
+  // Guards against a watcher with a link of 20 Mbit/s: sending 760
+  // registrations to 195 hosts saturated it for seconds, so that its own
+  // requests timed out and it considered the peers lost.
   std::vector<FleetHost> hosts;
   for (int i = 0; i < 60; ++i) {
     hosts.push_back({"host-" + std::to_string(i), "dc" + std::to_string(i % 5),
@@ -132,7 +133,7 @@
     }
   }
   CHECK(data_centres.size() == 5);
-  // Without the strong ones the others do it.
+  // Without the hosts of high capacity the others watch.
   hosts.erase(hosts.begin(), hosts.begin() + 10);
   CHECK(ChooseWatchers(hosts, 4).size() == 5);
 }
@@ -147,15 +148,15 @@
   CHECK_FALSE(IsStronger(120, 100));
 }
 
-TEST_CASE("one peer at a time is asked for what is large") {
-  // Eight peers that know more would each send the same 300 KB.
+TEST_CASE("large data is requested from one peer at a time") {
+  // Otherwise eight peers with newer data would each send the same 300 KB.
   const TimePoint start{Seconds(100)};
   GossipFetch fetch(Milliseconds(500), Milliseconds(50));
   CHECK(fetch.MayBegin(start));
   fetch.Begin("a", start);
   CHECK(fetch.IsFrom("a"));
   CHECK_FALSE(fetch.MayBegin(start + Milliseconds(499)));
-  // One that does not answer is given up for another.
+  // After the timeout another peer may be asked.
   CHECK(fetch.MayBegin(start + Milliseconds(500)));
   fetch.Begin("b", start + Milliseconds(500));
   fetch.End("a", start + Milliseconds(510));
@@ -165,7 +166,7 @@
   CHECK(fetch.MayBegin(start + Milliseconds(570)));
 }
 
-TEST_CASE("760 registrations take an eighth of their bytes on the way") {
+TEST_CASE("760 registrations are compressed to an eighth of their size") {
   GossipReply reply;
   reply.state = MakeState(1, 2);
   size_t uncompressed = 0;
@@ -184,16 +185,17 @@
     uncompressed += reply.servers.back().text.size();
   }
   const std::string message = EncodeGossipReply(reply);
-  MESSAGE(uncompressed << " bytes of text in " << message.size());
+  MESSAGE(uncompressed << " bytes of registrations, message size "
+                       << message.size());
   CHECK(message.size() < uncompressed / 8);
   const auto read = DecodeGossipReply(message);
   REQUIRE(read);
   CHECK(read->servers == reply.servers);
 }
 
-TEST_CASE("numbers of a message that no type holds are refused") {
-  // A peer's version is a number that is none (found by the fuzzer), or an age
-  // that overflows when it is turned into a time.
+TEST_CASE("numbers out of range are rejected") {
+  // Guards against a protocol version that is NaN, found by the fuzzer, and an
+  // age that overflows when it is converted to a Duration.
   const std::string whole = EncodeGossipRequest({MakeState(1, 2)});
   REQUIRE(DecodeGossipRequest(whole));
   const std::string not_a_number("\x83\xF9\xFE\x00\x01\x80", 6);
@@ -203,12 +205,12 @@
   CHECK_FALSE(DecodeGossipRequest(EncodeGossipRequest(request)));
 }
 
-TEST_CASE("other bytes are refused with a reason") {
+TEST_CASE("arbitrary and truncated bytes are rejected") {
   REQUIRE(rc::check("any bytes", [](const std::string& bytes) {
     RC_ASSERT(!DecodeGossipRequest(bytes));
     RC_ASSERT(!DecodeGossipReply(bytes));
   }));
-  REQUIRE(rc::check("a message cut short", [] {
+  REQUIRE(rc::check("a truncated message", [] {
     const std::string whole = EncodeGossipRequest({MakeState(1, 2)});
     const auto size = *rc::gen::inRange<size_t>(0, whole.size());
     RC_ASSERT(!DecodeGossipRequest(whole.substr(0, size)));
@@ -216,7 +218,7 @@
   CHECK_FALSE(DecodeGossipReply(EncodeGossipRequest({MakeState(1, 2)})));
 }
 
-TEST_CASE("facts of requests under which servers end keep what they hold") {
+TEST_CASE("facts about poison requests survive encoding and decoding") {
   const RequestDigest digest = DigestRequest({"POST", "h", "/x", "w", "b"});
   GossipReply reply;
   reply.poison.revision = 77;
@@ -247,9 +249,9 @@
             ->known_poison_revision == 76);
 }
 
-TEST_CASE("messages of hosts of earlier versions are read") {
-  // During a change of version old and new hosts exchange loads; the old ones
-  // leave the last fields out.
+TEST_CASE("messages of hosts of earlier versions are accepted") {
+  // During an upgrade old and new hosts exchange messages. The old ones omit
+  // the last fields.
   constexpr size_t kOldestFields = 4;
   const auto keep = [](const std::string& bytes, size_t fields) {
     auto message = ParseCbor(bytes).value();
@@ -271,7 +273,7 @@
   }
 }
 
-TEST_CASE("limits that servers name pass whole, and damaged ones are refused") {
+TEST_CASE("rate limits survive encoding, and invalid ones are rejected") {
   GossipReply reply;
   reply.state = MakeState(1, 2);
   reply.limits = {12,
@@ -294,7 +296,8 @@
   CHECK_FALSE(DecodeGossipReply(EncodeGossipReply(reply)));
 }
 
-TEST_CASE("evacuations pass whole and cost nothing while there are none") {
+TEST_CASE(
+    "evacuations survive encoding and take no bytes while there are none") {
   GossipRequest request{MakeState(1, 2), false};
   const size_t size_without = EncodeGossipRequest(request).size();
   request.state.evacuations = {7, {"dc-a", "dc-b"}};
--- a/tests/gossip_watchers_test.cc
+++ b/tests/gossip_watchers_test.cc
@@ -10,15 +10,16 @@
 
 constexpr Duration kRound = Milliseconds(150);
 constexpr Duration kMaxListingAge = Seconds(3);
-/// Listings come one after the other at this interval.
+/// Time between two listings.
 constexpr Duration kListInterval = Milliseconds(1500);
-/// Own hosts of a data centre that are heard in a turn, whatever its size.
+/// Local hosts from which a host receives messages in a round.
 constexpr size_t kReceivedInRound = 16;
 constexpr int kHighCapacity = 1000;
 constexpr int kLowCapacity = 2;
 
-/// A fleet that starts at one moment: one host in twenty is strong, listings
-/// are up to three seconds old, and hosts are heard a few in a turn.
+/// Simulates a fleet whose hosts start at once. One host in twenty has a high
+/// capacity, listings are up to three seconds old, and a host receives messages
+/// of a few others in each round.
 struct StartingFleet {
   explicit StartingFleet(size_t count) : received(count) {
     for (size_t i = 0; i < count; ++i) {
@@ -29,13 +30,13 @@
     }
   }
 
-  /// The hosts that watched at any time.
+  /// Returns the hosts that watched at any time.
   std::set<size_t> RunFor(Duration time) {
     std::set<size_t> watched;
     for (Duration since{0}; since < time; since += kRound) {
       for (size_t i = 0; i < hosts.size(); ++i) {
         for (size_t j = 0; j < kReceivedInRound; ++j) {
-          // Of the own data centre.
+          // A host of the same data centre.
           const size_t other = (random() % (hosts.size() / 5)) * 5 + i % 5;
           received[i].insert(other == i ? (i + 5) % hosts.size() : other);
         }
@@ -70,9 +71,9 @@
   std::vector<std::set<size_t>> received;
 };
 
-TEST_CASE("of a fleet that starts only strong hosts watch the store") {
-  // Guards against hundreds of weak hosts that each take themselves for one of
-  // the first, since they know only a part of the others yet.
+TEST_CASE("in a starting fleet only hosts of high capacity watch the store") {
+  // Guards against hundreds of weak hosts that each choose themselves because
+  // they know only some of the others yet.
   for (const size_t count : {size_t{100}, size_t{300}, size_t{1000}}) {
     StartingFleet fleet(count);
     const std::set<size_t> watched = fleet.RunFor(Seconds(6));
@@ -84,9 +85,9 @@
   }
 }
 
-TEST_CASE("of a fleet of equal hosts a part watches at its first start") {
-  // Guards against hosts that are all alike, know nobody yet, and each watch
-  // and stand for the lease.
+TEST_CASE("at the first start of a fleet of equal hosts only some watch") {
+  // Guards against hosts of equal capacity that know no others yet and each
+  // watch the store and compete for the lease.
   for (const size_t count : {size_t{100}, size_t{300}, size_t{1000}}) {
     StartingFleet fleet(count);
     for (FleetHost& host : fleet.hosts) {
@@ -100,8 +101,8 @@
   }
 }
 
-TEST_CASE("where all hosts are weak, some watch all the same") {
-  // Guards against a fleet of weak hosts that waits for stronger ones for ever.
+TEST_CASE("in a fleet of weak hosts some watch nevertheless") {
+  // Guards against weak hosts that wait indefinitely for stronger ones.
   const std::vector<FleetHost> others(3, {"b", "dc", kLowCapacity, false});
   const FleetHost own{"a", "dc", 1, false};
   CHECK_FALSE(ShouldWatch({own, Seconds(3), false, true, others, others}, {}));
--- a/tests/replay_gossip.h
+++ b/tests/replay_gossip.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What an entry host of a replay tells of its own work.
+/// Gossip state of a simulated entry host.
 
 #include <string>
 
@@ -9,6 +9,7 @@
 
 namespace filbertrack {
 
+/// Returns a state with the own loads of `selector`.
 inline GossipState MakeLoadReport(const std::string& node,
                                   const std::string& data_centre,
                                   const TargetSelector& selector) {
