--- a/include/filbertrack/peer_link.h
+++ b/include/filbertrack/peer_link.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// Connections between entry hosts: websocketpp on bufferevents of the one
-/// loop. Each frame carries a message authentication code over the nonces of
-/// both sides, the direction and a counter, so that bytes of a stranger, of
-/// another connection, out of order or sent twice are told apart and end the
-/// connection. The source is built as C++17, which websocketpp needs with this
-/// compiler, so this header holds nothing newer.
+/// WebSocket connections between entry hosts: websocketpp on bufferevents of
+/// the event loop. Each frame carries a message authentication code over the
+/// nonces of both sides, the direction and a frame counter. A frame that is
+/// forged, replayed, reordered or taken from another connection fails
+/// authentication and closes the connection. websocketpp does not compile as
+/// C++20 with this compiler, so the source is built as C++17 and this header
+/// must stay valid C++17.
 
 #include <functional>
 #include <memory>
@@ -17,7 +18,7 @@
 
 namespace filbertrack {
 
-/// Bytes that passed over peer connections of this process.
+/// Counters of all peer connections of this process.
 struct PeerTraffic {
   uint64_t bytes_in = 0;
   uint64_t bytes_out = 0;
@@ -27,19 +28,20 @@
 
 PeerTraffic& ProcessPeerTraffic();
 
-/// Answers peers' questions.
+/// Accepts connections of peers and passes their requests to a handler.
 class PeerServer {
  public:
-  /// Sends the answer; it may be called later, at most once, and does nothing
-  /// once the peer is gone.
+  /// Sends the reply to a request. May be called after the handler has
+  /// returned, at most once. Does nothing if the connection has been closed
+  /// meanwhile.
   using Answer = std::function<void(std::string payload)>;
   using Handler = std::function<void(std::string_view payload, Answer answer)>;
 
   PeerServer(EventLoop& loop, std::string key, Handler handler);
   ~PeerServer();
 
-  /// Port 0 lets the kernel choose. Writes the address in use to `bound`; false
-  /// where the address cannot be listened on.
+  /// Listens on `address`; port 0 selects a free port. Writes the address in
+  /// use to `bound`. Returns false if the address cannot be bound.
   bool Listen(const Address& address, Address* bound);
 
  private:
@@ -47,18 +49,21 @@
   std::shared_ptr<State> m_state;
 };
 
-/// Asks one peer, one question at a time; connects again by itself.
+/// Sends requests to one peer, one at a time. Connects on the first request and
+/// again on the next request after a connection was lost.
 class PeerClient {
  public:
   PeerClient(EventLoop& loop, std::string key, Address address);
   ~PeerClient();
 
-  /// `done` gets the answer, or nothing where there was none within `timeout`.
+  /// Sends `payload`. `done` receives the reply, or null if the connection
+  /// fails or no reply arrives within `timeout`; both close the connection, so
+  /// that a late reply cannot be taken for that of the next request.
   void Ask(std::string payload,
            Duration timeout,
            std::function<void(const std::string* answer)> done);
 
-  /// Whether a question is open; Ask() must not be called then.
+  /// Returns whether a request is in flight. Ask() must not be called then.
   bool busy() const;
 
   bool IsTo(const Address& address) const;
--- a/include/filbertrack/peer_table.h
+++ b/include/filbertrack/peer_table.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Membership of the entry hosts as one of them knows it. There is no agreed
-/// list: each host keeps what it heard, with an age that is counted from the
-/// moment it asked, and decisions that must be agreed use the object API.
+/// Membership of the entry hosts as seen by one of them. There is no agreed
+/// membership list: each host keeps the states it received and the time at
+/// which each was current, counted from when it sent the request. Decisions
+/// that need agreement go through the object API.
 
 #include <algorithm>
 #include <cstdint>
@@ -18,16 +19,16 @@
 
 namespace filbertrack {
 
-/// What an entry host says of itself.
+/// State that an entry host announces about itself.
 struct PeerState {
   std::string node;
-  /// Wall time of its start in milliseconds: of two processes of one name the
-  /// later one counts.
+  /// Wall-clock start time of the process in milliseconds. Of two processes
+  /// with the same name, the one with the larger value is valid.
   uint64_t incarnation = 0;
   Address address;
   std::string data_centre;
   bool leaving = false;
-  uint64_t generation = 0;  ///< Of the configuration in force.
+  uint64_t generation = 0;  ///< Generation of the configuration in force.
   uint64_t division = 0;    ///< Epoch of the division of entitlements.
 
   bool operator==(const PeerState&) const = default;
@@ -35,16 +36,16 @@
 
 struct PeerRecord {
   PeerState state;
-  /// The peer was in this state at this time or later.
+  /// The peer was alive and in this state at this time or later.
   TimePoint alive_at;
 };
 
 struct PeerPolicy {
-  /// A peer not heard of for this long is not live.
+  /// A peer counts as live for this long after it was last known to be alive.
   Duration dead_after = Seconds(3);
-  /// Its record is dropped after this.
+  /// The record of a peer is removed after this time.
   Duration forget_after = Seconds(60);
-  /// Each host asks so many others.
+  /// Number of peers that a host queries in each round.
   size_t neighbours = 2;
 };
 
@@ -56,35 +57,41 @@
   PeerState& self() { return m_self; }
   const PeerState& self() const { return m_self; }
 
-  /// Takes over what was heard of a peer. News of an older process of the same
-  /// name, or older than what is known, change nothing.
+  /// Merges a received state. Ignores states of this host, of an older process
+  /// with the same name, and states that are not newer than the known one.
   void Learn(const PeerState& state, TimePoint alive_at);
 
+  /// Removes records that are older than `forget_after`.
   void Forget(TimePoint now);
 
   const std::map<std::string, PeerRecord, std::less<>>& records() const {
     return m_records;
   }
 
-  /// Names of live peers and this host, sorted.
+  /// Returns the sorted names of the live peers and, unless it is leaving, this
+  /// host.
   std::vector<std::string> Live(TimePoint now) const;
 
-  /// The live peers that this host asks in a round: of those at distances 1, 2,
-  /// 4, … on a ring of names, some in turn. So news reach everybody in a number
-  /// of steps that grows as the logarithm, although nobody speaks to all.
+  /// Returns the live peers to query in a round. Candidates are the peers at
+  /// distances 1, 2, 4, … on a ring of the sorted names, and successive rounds
+  /// take turns among them. An update therefore reaches all hosts in O(log n)
+  /// rounds although no host queries all the others.
   std::vector<PeerState> Neighbours(uint64_t round, TimePoint now) const;
 
-  /// Whether this host is among the first `count` live hosts for `item` by
-  /// rendezvous hashing; `data_centre` empty: among all, else only those there.
+  /// Returns whether this host is among the first `count` live hosts for `item`
+  /// by rendezvous hashing. A non-empty `data_centre` restricts the other
+  /// candidates to that data centre.
   bool IsChosen(std::string_view item,
                 std::string_view data_centre,
                 size_t count,
                 TimePoint now) const;
 
-  /// The live host that owns `item`.
+  /// Returns the live host with the highest rendezvous weight for `item`; this
+  /// host if none is live.
   std::string Owner(std::string_view item, TimePoint now) const;
 
-  /// Of names, incarnations and states, but not of ages.
+  /// Returns a digest of all states, this host's included. Ages are not part of
+  /// it, so hosts that know the same states have the same digest.
   uint64_t Digest() const;
 
  private:
@@ -95,9 +102,9 @@
   std::map<std::string, PeerRecord, std::less<>> m_records;
 };
 
-/// The latest time at which at least `needed` of `nodes` were known, by word of
-/// their own, to satisfy `holds`; nullopt where fewer ever were. This host
-/// counts for itself, as of now.
+/// Returns the latest time at which at least `needed` of `nodes` had announced
+/// a state that satisfies `holds`; nullopt if fewer have, or if `needed` is 0.
+/// This host counts with its current state and the time `now`.
 template <typename Holds>
 std::optional<TimePoint> ConfirmedAt(const PeerTable& table,
                                      std::span<const std::string> nodes,
--- a/source/peer_link.cc
+++ b/source/peer_link.cc
@@ -32,13 +32,13 @@
 
 namespace ws = websocketpp;
 
-/// The names in here are the library's, not ours.
+/// websocketpp prescribes the names in this namespace.
 // NOLINTBEGIN(readability-identifier-naming)
 namespace peer_link_config {
 
-/// websocketpp without Asio, threads and its own logs: the bytes come from and
-/// go to a bufferevent. The library's own core configuration is not used
-/// because its logger does not compile as C++20.
+/// websocketpp configuration without Asio, threads and logging: a bufferevent
+/// is the transport. The library's core configuration cannot be used because
+/// its logger does not compile as C++20.
 struct PeerConfig {
   using type = PeerConfig;
   using concurrency_type = ws::concurrency::none;
@@ -120,7 +120,7 @@
   setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-/// One socket with one websocket connection on it.
+/// Connects a bufferevent with the websocketpp connection that runs on it.
 template <typename Endpoint>
 class WebSocketStream
     : public std::enable_shared_from_this<WebSocketStream<Endpoint>> {
@@ -158,8 +158,8 @@
     }
   }
 
-  /// Ends the connection from the loop, outside the callbacks of both
-  /// libraries.
+  /// Stops sending and calls `on_closed`, which releases the connection, from
+  /// the event loop, outside the callbacks of libevent and websocketpp.
   void Close() {
     if (m_closed) {
       return;
@@ -195,7 +195,7 @@
     }
     const size_t consumed =
         stream->m_connection->read_all(bytes.data(), bytes.size());
-    // Bytes that the library does not take follow a protocol error.
+    // websocketpp leaves bytes unread only after a protocol error.
     if (consumed < bytes.size() ||
         stream->m_connection->get_state() == ws::session::state::closed) {
       stream->Close();
@@ -299,7 +299,7 @@
     Peer& peer = peers.at(id);
     const auto payload = peer.in->Open(frame);
     if (!payload) {
-      // A stranger, or a frame out of its place: nothing of it is read.
+      // Not authenticated, or not the next frame: the payload is not parsed.
       ++ProcessPeerTraffic().refused_frames;
       peer.stream->Close();
       return;
@@ -414,7 +414,8 @@
     }
   }
 
-  /// The connection is gone; a late answer on it cannot come any more.
+  /// Closes the connection and completes the request in flight without a reply.
+  /// A late reply to it cannot arrive on a new connection.
   void Disconnect() {
     if (stream != nullptr) {
       stream->on_closed = nullptr;
--- a/source/peer_message.cc
+++ b/source/peer_message.cc
@@ -19,6 +19,7 @@
   kKeyedReply = 4,
 };
 
+/// Rows of any list of a message.
 constexpr size_t kMaxRows = 100000;
 
 Json Pack(const PeerState& state) {
@@ -113,7 +114,8 @@
 std::vector<Row> UnpackRows(const Json& list, Row (*unpack)(const Json&)) {
   std::vector<Row> rows;
   if (!list.is_array() || list.size() > kMaxRows) {
-    throw Json::type_error::create(302, "not a list of rows", &list);
+    throw Json::type_error::create(
+        302, "expected an array within the row limit", &list);
   }
   rows.reserve(list.size());
   for (const Json& value : list) {
@@ -173,7 +175,7 @@
     case MessageKind::kKeyedReply:
       return KeyedReply{UnpackRows(value.at(2), UnpackBytes)};
   }
-  throw Json::other_error::create(501, "unknown kind of message", &value);
+  throw Json::other_error::create(501, "unknown message kind", &value);
 }
 
 }  // namespace
@@ -184,26 +186,25 @@
 
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes) {
   if (bytes.size() > kMaxPeerMessageBytes) {
-    return Fail(ResultCode::kBadRequest, "A peer's message is too large.");
+    return Fail(ResultCode::kBadRequest, "Peer message is too large.");
   }
   const Json value = ParseCbor(bytes).value_or(Json());
   if (!value.is_array() || value.size() < 2 ||
       value[1] != Json(kPeerProtocol)) {
     return Fail(ResultCode::kBadRequest,
-                "A peer's message is not of protocol version " +
+                "Peer message does not have protocol version " +
                     std::to_string(kPeerProtocol) + ".");
   }
   try {
     return Unpack(value);
   } catch (const Json::exception& error) {
-    return Fail(
-        ResultCode::kBadRequest,
-        std::string("A peer's message cannot be read: ") + error.what());
+    return Fail(ResultCode::kBadRequest,
+                std::string("Cannot decode peer message: ") + error.what());
   }
 }
 
 uint8_t PackAge(Duration age, Duration unit, uint8_t max_units) {
-  // Rounded up: an age may look older than it is, and never younger.
+  // Rounded up, since data must never appear fresher than it is.
   const int64_t units = (age + unit - Duration(1)) / unit;
   return static_cast<uint8_t>(
       std::clamp<int64_t>(units, 0, static_cast<int64_t>(max_units)));
--- a/source/peer_table.cc
+++ b/source/peer_table.cc
@@ -34,8 +34,9 @@
     record = {state, alive_at};
     return;
   }
-  // Words of one process may arrive by several ways and out of order. What it
-  // has in force only grows, so a higher number is the later word.
+  // States of one process may arrive over several paths and out of order. The
+  // generation and the division only grow within a process, and leaving is
+  // final, so the larger value is the newer one.
   if (alive_at > record.alive_at) {
     const PeerState before = record.state;
     record = {state, alive_at};
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -7,8 +7,8 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("frames open in their order, once, on their own connection only") {
-  // A peer's words would be taken twice, or a stranger's at all.
+TEST_CASE("frames are accepted in order, once, on their own connection only") {
+  // Guards against accepting replayed or forged messages.
   FrameSealer out("key", "ask n1 n2");
   const std::string first = out.Seal("one");
   const std::string second = out.Seal("two");
@@ -23,7 +23,8 @@
   CHECK(!FrameSealer("key", "ask n1 n2").Open("short"));
 }
 
-TEST_CASE("a message of another protocol version is refused with the version") {
+TEST_CASE(
+    "a message of another protocol version is rejected with the version") {
   const std::string bytes = EncodePeerMessage(KeyedReply{{"v"}});
   CHECK(DecodePeerMessage(bytes));
   std::string other = bytes;
@@ -33,9 +34,9 @@
   CHECK(message.error().message.find("version 1") != std::string::npos);
 }
 
-TEST_CASE("a message that announces an impossible size is refused") {
-  // Every request of the process would be lost: the CBOR library throws for
-  // such sizes even where it was told not to.
+TEST_CASE("a message that declares an impossible size is rejected") {
+  // nlohmann::json throws for such sizes even with exceptions disabled. If the
+  // exception is not caught, the process ends and all its requests fail.
   const std::string bytes = "\x9b\x61\x62\x63\x64\x65\x66\x67\x69";
   CHECK(!DecodePeerMessage(bytes));
 }
