--- a/include/filbertrack/exchange.h
+++ b/include/filbertrack/exchange.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// What entry hosts tell each other, as plain functions over what each knows:
-/// objects of the store, membership, evidence about groups, and loans of
-/// entitlements. Every answer is dated by its question, so that neither a slow
-/// network nor a paused process makes old news look fresh.
+/// State exchange between the entry hosts of the gateway: objects of the store,
+/// membership, evidence about groups and loans of entitlements. The functions
+/// do no I/O. The requester dates a reply by the time at which it sent the
+/// request, so that neither a slow network nor a paused process makes old data
+/// appear fresh.
 
 #include <string>
 #include <vector>
@@ -16,7 +17,7 @@
 
 namespace filbertrack {
 
-/// What one entry host knows.
+/// State of one entry host that the exchange reads and updates.
 struct ExchangeState {
   PeerTable& table;
   ObjectCache& cache;
@@ -25,26 +26,27 @@
   LoanPolicy loans;
 };
 
-/// The question to the peer of that name; `wanted` are keys that its last
-/// answer offered.
+/// Creates the request to the peer named `peer`. `wanted` holds the keys of the
+/// objects to fetch, taken from ExchangeEffect::wanted of its last reply.
 ExchangeRequest MakeExchangeRequest(ExchangeState& state,
                                     std::string_view peer,
                                     std::vector<std::string> wanted,
                                     TimePoint now);
 
+/// Creates the reply to `request` and records its sender as a known peer.
 ExchangeReply MakeExchangeReply(ExchangeState& state,
                                 const ExchangeRequest& request,
                                 TimePoint now);
 
 struct ExchangeEffect {
   bool objects_changed = false;
-  /// Groups whose evidence changed.
+  /// Ids of the groups whose evidence changed.
   std::vector<std::string> groups;
-  /// To be asked for next.
+  /// Keys of the objects to request from this peer next.
   std::vector<std::string> wanted;
 };
 
-/// Takes over the answer to `ask`, which was asked at `asked_at`.
+/// Applies the reply to `request`, which was sent at `asked_at`.
 ExchangeEffect ApplyExchangeReply(ExchangeState& state,
                                   const ExchangeRequest& request,
                                   const ExchangeReply& reply,
--- a/include/filbertrack/member_watch.h
+++ b/include/filbertrack/member_watch.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Reads the standing responses of engines: one connection a member, over which
-/// the engine writes a short line at the interval that the reader asked for.
+/// Reads the heartbeat streams of engines. Each member has one connection, over
+/// which its engine writes a line at the interval that the request specifies.
 
 #include <functional>
 #include <map>
@@ -22,12 +22,14 @@
   MemberWatch(EventLoop& loop, Duration interval, OnEvidence on_evidence);
   ~MemberWatch();
 
-  /// Watches exactly these hosts from now on.
+  /// Replaces the set of watched hosts. Connections to hosts whose address did
+  /// not change are kept.
   void SetMembers(const std::map<std::string, Address, std::less<>>& members);
 
+  /// Returns null if the host is not watched.
   const MemberEvidence* Find(std::string_view host) const;
 
-  /// Bytes of lines read so far.
+  /// Bytes received from all members.
   uint64_t bytes_read() const { return m_bytes_read; }
   size_t size() const { return m_members.size(); }
 
--- a/source/exchange.cc
+++ b/source/exchange.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// The first byte of a group's evidence: its age in units, with this bit where
-/// a member is known to be missing.
+/// Set in the first evidence byte of a group if a member is known to be
+/// missing; the other seven bits hold the age in units of kEvidenceAgeUnit.
 constexpr uint8_t kMemberMissingBit = 0x80;
 constexpr uint8_t kUnknownAge = 0x7f;
 constexpr int kMaxLoadByte = 255;
-/// Answers carry at most this much of other's objects; the rest is asked next.
+/// Objects are added to a reply until their values reach this size; the
+/// requester fetches the others with its next requests.
 constexpr size_t kMaxObjectBytes = 1024 * 1024;
 
 std::vector<uint8_t> PackEvidence(const std::vector<GroupEvidence>& rows) {
@@ -41,8 +42,9 @@
                         TimePoint asked_at,
                         ExchangeEffect& effect) {
   std::vector<GroupEvidence> rows = state.fleet.Evidence(asked_at);
-  // The digests of the caches were equal when the answer was made; where ours
-  // has changed since, the rows no longer match and the next answer will.
+  // The cache digests were equal when the reply was made. If the local cache
+  // has changed since, the rows do not match; the next reply brings evidence
+  // again.
   if (bytes.size() != rows.size() * 2) {
     return;
   }
@@ -62,8 +64,8 @@
                    const PeerState& from,
                    const std::vector<uint8_t>& ages,
                    TimePoint asked_at) {
-  // Equal digests mean the same names: the answerer's table without itself is
-  // ours without it, plus this host.
+  // Equal table digests imply equal names: the replier's records are the local
+  // ones without the replier, plus this host.
   std::vector<std::string> names = {state.table.self().node};
   for (const auto& [name, record] : state.table.records()) {
     if (name != from.node) {
@@ -118,15 +120,15 @@
 ExchangeReply MakeExchangeReply(ExchangeState& state,
                                 const ExchangeRequest& request,
                                 TimePoint now) {
-  // A question proves only that its sender lived at some time: it may have
-  // waited on the way. So it makes the sender known, and not live.
+  // A request may have been delayed, so it proves only that its sender was
+  // alive at some time. The sender becomes known but not live.
   state.table.Learn(request.from, TimePoint());
   ExchangeReply reply;
   reply.from = state.table.self();
   reply.cache_digest = state.cache.Digest();
   AddObjects(state.cache, request.wanted_objects, reply.objects);
   if (request.from.node.empty()) {
-    // An observer, such as this host's controller, wants objects alone.
+    // Observers, such as the controller of this host, need only objects.
     if (request.cache_digest != reply.cache_digest) {
       reply.inventory = state.cache.Inventory();
     }
--- a/source/member_watch.cc
+++ b/source/member_watch.cc
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr Duration kRetryDelay = Milliseconds(200);
-/// Bounds what two clocks drift apart on one connection: at 100 parts in a
-/// million, 30 ms in five minutes.
+/// Connections are renewed at this age to bound the drift between the clocks of
+/// both sides: 30 ms at 100 parts per million.
 constexpr Duration kConnectionAge = Seconds(300);
-/// A connection without a line for so many intervals is asked for anew; a
-/// broken path otherwise shows only when the operating system gives up.
+/// A connection without a line for this many intervals is opened again. A
+/// broken network path would otherwise be noticed only at the TCP timeout of
+/// the operating system.
 constexpr int kIdleTimeoutIntervals = 12;
 constexpr size_t kMaxLineBytes = 64 * 1024;
 
@@ -21,6 +22,7 @@
   std::string host;
   Address address;
   MemberEvidence evidence;
+  /// Start of a line whose end has not been received yet.
   std::string partial_line;
   std::unique_ptr<HttpCall> call;
   std::unique_ptr<Timer> timer;
@@ -79,7 +81,8 @@
   events.on_failure = [on_ended](bool) { on_ended(); };
   member.call =
       m_http.Start(member.address, std::move(request), std::move(events));
-  // The old connection's last evidence stays good while the new one opens.
+  // The last evidence of the old connection stays valid while the new one is
+  // being opened.
   member.timer =
       m_loop.After(kConnectionAge, [this, &member] { Connect(member); });
 }
--- a/tests/exchange_test.cc
+++ b/tests/exchange_test.cc
@@ -10,7 +10,7 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-/// One entry host at the interface of the exchange, with a clock of its own.
+/// An entry host as the exchange sees it, with its own clock offset.
 struct Node {
   explicit Node(const std::string& name, Duration clock_offset = Duration(0))
       : offset(clock_offset),
@@ -26,7 +26,8 @@
   EntitlementParts parts;
 };
 
-/// `asker` asks `answerer`; the question and the answer travel for so long.
+/// Sends a request from `requester` to `replier` and applies the reply. The
+/// messages take `there` and `back`.
 ExchangeEffect Exchange(Node& requester,
                         Node& replier,
                         TimePoint& true_now,
@@ -88,8 +89,9 @@
 }
 
 TEST_CASE("objects reach a host that does not watch the store") {
-  // The caller is refused by no host: the second one learns the group from the
-  // first, in two questions, while the store is not asked.
+  // Guards against hosts that refuse requests for groups they do not know. The
+  // second host gets the group from the first in two requests, without the
+  // store.
   Node watcher("a");
   Node other("b", Seconds(500));
   TimePoint now = kStart;
@@ -102,10 +104,9 @@
   CHECK(other.cache.Digest() == watcher.cache.Digest());
 }
 
-TEST_CASE(
-    "property: evidence never looks younger than it is, however it travels") {
-  // A caller would get an answer of half a group. Clocks of any offset, three
-  // hosts in a row, questions and answers that wait for any time on the way.
+TEST_CASE("property: evidence never appears fresher than it is on any path") {
+  // Guards against sending a request to a group that lost a member. Evidence
+  // passes three hosts with arbitrary clock offsets and message delays.
   REQUIRE(rc::check("ages", [] {
     std::vector<Node> nodes;
     for (int i = 0; i < 3; ++i) {
@@ -137,8 +138,9 @@
   }));
 }
 
-TEST_CASE("the word of a missing member travels and wins over older evidence") {
-  // Requests leave the group at once on hosts that do not watch it.
+TEST_CASE("a missing member is propagated and overrides older evidence") {
+  // Guards against hosts that do not watch a group and keep sending to it after
+  // it lost a member.
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
@@ -154,14 +156,14 @@
   const ExchangeEffect effect = Exchange(router, monitor, now);
   CHECK(effect.groups == std::vector<std::string>{"d/1"});
   CHECK(!router.fleet.FindCandidate("d/1")->target.whole_at);
-  // Another monitor's older word, which took a longer way, changes nothing.
+  // Older evidence of another monitor, delayed on its path, is ignored.
   CHECK(!router.fleet.OnGroupEvidence("d/1", 1, true, kStart, 0));
   CHECK(!router.fleet.FindCandidate("d/1")->target.whole_at);
 }
 
-TEST_CASE("a host that does not watch a group learns its size from answers") {
-  // Callers of that host would wait for one another: it took the group for one
-  // that answers one request at a time, since evidence tells of life alone.
+TEST_CASE("a host that does not watch a group gets its slots from answers") {
+  // Group evidence does not carry the number of slots. Without it the host
+  // assumes that the group runs one request at a time, and its callers queue.
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
@@ -183,9 +185,9 @@
   CHECK(!ParseAnswerLoad("many"));
 }
 
-TEST_CASE("a question makes its sender known, and not live") {
-  // Entitlements would be divided with a host that is gone: its question waited
-  // in a socket while it died.
+TEST_CASE("a request makes its sender known but not live") {
+  // Guards against dividing entitlements with a dead host whose last request
+  // was still waiting in a socket when it ended.
   Node a("a");
   Node b("b");
   TimePoint now = kStart;
@@ -195,7 +197,7 @@
   CHECK(a.table.Live(now) == std::vector<std::string>{"a", "b"});
 }
 
-TEST_CASE("an old process of the same name is told apart") {
+TEST_CASE("states of an older process with the same name are ignored") {
   PeerTable table({"a", 1, {}, "dc", false, 0, 0}, PeerPolicy());
   table.Learn({"b", 7, {}, "dc", false, 9, 0}, kStart);
   table.Learn({"b", 6, {}, "dc", false, 99, 0}, kStart + Seconds(1));
@@ -204,7 +206,7 @@
   CHECK(table.records().at("b").state.generation == 1);
 }
 
-TEST_CASE("property: news reach everybody although each asks only two others") {
+TEST_CASE("property: updates reach all hosts although each asks only two") {
   REQUIRE(rc::check("ring", [] {
     const auto size = *rc::gen::inRange<size_t>(2, 30);
     std::vector<Node> nodes;
@@ -236,7 +238,7 @@
   }));
 }
 
-TEST_CASE("property: no bytes of a peer crash the reading of its message") {
+TEST_CASE("property: decoding a damaged message does not crash") {
   REQUIRE(rc::check("bytes", [] {
     ExchangeReply reply;
     reply.from = {"a", 3, {"127.0.0.1", 9}, "dc", false, 4, 5};
