--- a/include/filbertrack/poison_digest.h
+++ b/include/filbertrack/poison_digest.h
@@ -1,33 +1,34 @@
 #pragma once
 
-/// A name for what a request asks, so that copies of it are known at any entry
-/// host. Callers give each try an id of its own, and may come by another
-/// connection, with another key of the same workspace, or with headers in
-/// another order: none of these is part of the name.
+/// A digest of a request's content, by which every entry host recognises copies
+/// of the request. Request ids, connections, keys of the same workspace and the
+/// order of headers may differ between copies, so none of them is part of the
+/// digest.
 
 #include <string>
 #include <string_view>
 
 namespace filbertrack {
 
-/// 32 lower-case hexadecimal digits. The request cannot be read back from it.
+/// 32 lower-case hexadecimal digits. The digest is one-way.
 using RequestDigest = std::string;
 
-/// What stays the same when a request comes again.
+/// The parts of a request that are equal in all of its copies.
 struct RequestIdentity {
   std::string_view method;
-  /// Of the route; compared without regard to case.
+  /// Host name of the route; case is ignored.
   std::string_view hostname;
-  /// Path with the query, as the caller wrote it.
+  /// Path and query, exactly as the caller sent them.
   std::string_view target;
-  /// Empty where the route needs no key.
+  /// Empty if the route needs no key.
   std::string_view workspace;
   std::string_view body;
 };
 
 RequestDigest DigestRequest(const RequestIdentity& identity);
 
-/// Whether the text has the form of a digest: others tell them too.
+/// Whether `text` has the form of a digest. Digests also arrive from peers and
+/// must be validated.
 bool IsRequestDigest(std::string_view text);
 
 }  // namespace filbertrack
--- a/include/filbertrack/poison_ledger.h
+++ b/include/filbertrack/poison_ledger.h
@@ -1,21 +1,26 @@
 #pragma once
 
-/// Finds the request under which servers end, from reports of all entry hosts,
-/// and keeps it from further servers.
+/// Detects poison requests, i.e. requests that terminate the servers which run
+/// them, from the reports of all entry hosts, and blocks them. The termination
+/// of a server process is called an end; a report names a request that the
+/// server was handling at that time.
 ///
-/// The load that it is made for: one request ends each server that begins to
-/// run it, and comes again several times a second, under new ids, at any entry
-/// host, among hundreds of requests that run beside it on the same servers. No
-/// entry host sees three of its ends, and each end takes a dozen innocent
-/// requests along, some of which follow it to the next server.
+/// The design case: one request terminates every server that begins to run it.
+/// It is retried several times a second, under new ids and at any entry host,
+/// among hundreds of requests that run on the same servers. No entry host sees
+/// three of the ends itself. Each end also breaks a dozen unrelated requests,
+/// and some of those are retried on the next server that the poison request
+/// reaches.
 ///
-/// Whom an end is laid to: of the requests that a server had when it ended,
-/// those that were at most other ends as well, above all where they had just
-/// begun to run. Whoever was there by chance is at fewer ends than the culprit,
-/// or has an answer by now, which clears it.
+/// Attribution: of the requests that a server was running when it ended, the
+/// end is attributed to those with the most evidence over all ends. Evidence
+/// weighs most where a request had just begun. A request that was present by
+/// chance is involved in fewer ends than the poison request, or has been
+/// answered in the meantime, which clears it.
 ///
-/// Facts are sets that only grow, and are told with their age. So hosts that
-/// heard the same facts in any order, and any number of times, decide alike.
+/// Facts form grow-only sets and are exchanged with their age, so hosts that
+/// received the same facts reach the same decisions, whatever the order and
+/// number of deliveries.
 
 #include <array>
 #include <cstdint>
@@ -32,42 +37,43 @@
 
 namespace filbertrack {
 
-/// How far a server had come with a request when it ended.
+/// How far a server had processed a request when the server ended.
 enum class EndProgress : int {
-  /// Parts of the answer had come, so it had run for a while.
+  /// Part of the answer had arrived, so the request had been running.
   kAnswering = 0,
-  /// Nothing had come: it may have waited in a queue.
+  /// Nothing had arrived; the request may still have been queued.
   kNoAnswer = 1,
-  /// The answer had begun and held nothing yet.
+  /// The answer had begun, without any content yet.
   kBegun = 2,
 };
 
 // Facts.
 
-/// A server ended while it had the request.
+/// A server process ended while it was handling the request.
 struct EndedDuringRequest {
   ServerInstance server;
   RequestDigest digest;
   EndProgress progress = EndProgress::kNoAnswer;
 };
-/// A server that was said to have ended has answered since.
+/// A server that was reported as ended has answered since.
 struct FoundAlive {
   ServerInstance server;
 };
-/// The request was answered to its end, or an operator lifted its mark.
+/// The request was answered completely, or an operator lifted its block.
 struct Cleared {
   RequestDigest digest;
 };
-/// So many servers ended under the request: it reaches no more. It holds since
-/// the first of these ends, so that an answer after that speaks against it.
+/// `ends` servers have ended because of the request, so it is sent to no
+/// further server. The fact is dated at the first of these ends, so that a
+/// later complete answer overrides it.
 struct Blocked {
   RequestDigest digest;
   int ends = 0;
-  /// Copies let through since.
+  /// Trial copies sent since the block.
   int trials = 0;
 };
-/// A marked request was let through this many times, to see whether servers
-/// still end under it.
+/// The number of trial copies of a blocked request that were sent to check
+/// whether servers still end because of it.
 struct TrialsSent {
   RequestDigest digest;
   int trials = 0;
@@ -80,93 +86,106 @@
   Duration age{0};
 };
 
-/// Facts for another entry host.
+/// Facts to send to another entry host.
 struct PoisonUpdate {
-  /// The teller's facts up to this revision are told with these.
+  /// Revision of the sender's ledger up to which all facts are included.
   uint64_t revision = 0;
   std::vector<TimedPoisonFact> facts;
 };
 
 struct PoisonPolicy {
-  /// What a request is turned away at: three ends at which it had just begun. A
-  /// second end may be chance where many servers end at once.
+  /// Evidence at which a request is blocked: three ends at which it had just
+  /// begun. Two ends can coincide by chance when many servers end at the same
+  /// time.
   int evidence_to_block = 60;
-  /// What one end is worth, by how far the request was. Those that ran for a
-  /// while, or may have waited, are at ends by chance much more often, so they
-  /// need a fourth and a fifth end.
+  /// Evidence of one end, by the progress of the request. Requests that may
+  /// have been queued, or that had been running for a while, are involved in
+  /// ends by chance much more often; four ends without an answer or five with a
+  /// partial answer are needed to block them.
   int begun_evidence = 20;
   int no_answer_evidence = 15;
   int answering_evidence = 12;
-  /// An end counts after this: reports of other entry hosts, who had the
-  /// culprit there, take up to three rounds of questions.
+  /// Time after which an end counts. The reports of the other entry hosts that
+  /// had the poison request on that server take up to three gossip rounds.
   Duration settle_time = Milliseconds(500);
-  /// The same where reports pass through hosts that speak for a data centre:
-  /// these ask each other every 300 ms, and are asked every 600 ms.
+  /// Settle time where reports are relayed by the representatives of data
+  /// centres: these poll each other every 300 ms and are polled every 600 ms.
   Duration relayed_settle = Milliseconds(1500);
-  /// Words that clear are the same word within this time. A fact grows younger
-  /// by its time on the way with each host that passes it on; taken for a later
-  /// one, it would be passed round for ever and clear ends that came after it.
+  /// Clearing facts about the same subject within this time are duplicates. A
+  /// fact's age excludes its time in transit, so each relay makes it appear
+  /// more recent. Without this window it would be accepted as a new fact,
+  /// circulate forever and clear ends that happened after it.
   Duration duplicate_window = Milliseconds(500);
-  /// Ends further apart than this are not connected.
+  /// Lifetime of a fact; ends further apart are unrelated.
   Duration fact_ttl = Seconds(600);
-  /// One copy is let through after these times, over the whole fleet. All
-  /// servers of a service that lose power together end under the requests that
-  /// callers send all the time; an answer to the copy takes their mark off. Two
-  /// copies, so that with one that two hosts let through at once a culprit
-  /// still reaches three servers at most.
+  /// Delays before each trial copy of a blocked request, counted over the whole
+  /// fleet. If all servers of a service lose power at once, they end while
+  /// running the requests that callers send all the time; a complete answer to
+  /// a trial copy lifts such a block. There are two trials, so that a poison
+  /// request still reaches at most three servers if two hosts send one trial at
+  /// the same time.
   std::array<Duration, 2> trial_pauses = {Seconds(5), Seconds(60)};
-  /// A mark that nobody lifts ends after a day: what made the servers end may
-  /// be mended. One more end marks the request again.
+  /// A block expires after a day, since the cause may have been fixed. One more
+  /// end then blocks the request again.
   Duration block_ttl = Seconds(24 * 3600);
-  /// Bounds memory to about 200 KB. Ends of requests that were at one end only
-  /// go first, so that ever new requests do not push out one that comes again.
+  /// Limits memory to about 200 KB. Ends of requests that were involved in one
+  /// end only are evicted first, so that a stream of new requests cannot evict
+  /// a recurring one.
   size_t max_ends = 1024;
   size_t max_blocks = 256;
-  /// Words that clear a request or a server, kept against late reports of ends.
+  /// Limit of the clearing facts that are kept to reject late reports of ends;
+  /// applies separately to requests and to servers.
   size_t max_records = 1024;
-  /// Facts in one message: 15 KB.
+  /// Limit of the facts in one message, about 15 KB.
   size_t max_records_per_message = 256;
 };
 
 class PoisonLedger {
  public:
-  /// Revisions begin above `first_revision`: random, so that a host that starts
-  /// again is not taken for the one before.
+  /// Revisions start above `first_revision`. It must be random, so that peers
+  /// do not mistake a restarted host for its previous process.
   PoisonLedger(PoisonPolicy policy, uint64_t first_revision)
       : m_policy(policy), m_revision(first_revision) {}
 
-  /// Whether reports pass through hosts that speak for a data centre.
+  /// Sets whether reports are relayed by the representatives of data centres,
+  /// which selects the settle time.
   void SetRelayed(bool is_relayed) { m_is_relayed = is_relayed; }
 
-  /// Takes up a fact that held at `at`; false where it says nothing new.
+  /// Applies a fact dated `at`. Returns false if it adds nothing new.
   bool Note(const PoisonFact& fact, TimePoint at);
 
-  /// Forgets what is old, and marks requests. Returns the new marks.
+  /// Evicts expired facts, re-evaluates existing blocks and blocks further
+  /// requests. Returns the new blocks.
   std::vector<Blocked> UpdateBlocks(TimePoint now);
 
-  /// Whether the request must reach no further server.
+  /// Whether the request must not be sent to any further server.
   bool IsBlocked(const RequestDigest& digest) const;
-  /// Whether a copy of the marked request may be let through now.
+  /// Whether a trial copy of the request may be sent now. The request must have
+  /// a block.
   bool MayStartTrial(const RequestDigest& digest, TimePoint now) const;
   void BeginTrial(const RequestDigest& digest, TimePoint now);
-  /// Whether a server ended under the request, so that its answer is news.
+  /// Whether an end or a block of the request is known, so that an answer to it
+  /// must be reported to peers.
   bool IsSuspect(const RequestDigest& digest) const;
-  /// Neither ends nor marks are known.
+  /// Whether neither ends nor blocks are known.
   bool IsEmpty() const { return m_ends.empty() && m_blocks.empty(); }
-  /// When this life of a server was first said to have ended.
+  /// When this process of a server was first reported as ended.
   std::optional<TimePoint> EndedAt(const ServerInstance& server) const;
-  /// Marks in force.
+  /// Blocks in force.
   std::vector<Blocked> ActiveBlocks() const;
-  /// Servers whose ends are laid to the request now.
+  /// Ids of the servers whose ends are currently attributed to the request.
   std::vector<std::string> EndsAttributedTo(const RequestDigest& digest,
                                             TimePoint now) const;
   size_t CountEnds() const { return m_end_count; }
-  /// Servers that ended while they had the request, whoever is to blame.
+  /// Number of servers that ended while handling the request, whatever the
+  /// attribution.
   int CountEndsOf(const RequestDigest& digest) const;
 
   uint64_t revision() const { return m_revision; }
-  /// Facts that came after `known`, a revision of this ledger, the oldest
-  /// first; all of them where it is none.
+  /// Facts added after `known`, a revision of this ledger, oldest first. If
+  /// `known` is not a revision of this ledger, all facts. At most
+  /// `max_records_per_message`; `revision` of the result tells where to
+  /// continue.
   PoisonUpdate Since(uint64_t known, TimePoint now) const;
 
  private:
@@ -186,7 +205,7 @@
     int trials = 0;
     TimePoint tried_at;
     bool expired = false;
-    /// Stronger marked requests explain its ends.
+    /// Its ends are explained by blocked requests with more evidence.
     bool explained = false;
 
     bool IsActive() const { return !expired && !explained; }
@@ -200,42 +219,47 @@
   bool Apply(const TrialsSent& fact, TimePoint at);
 
   void EraseEnd(const ServerInstance& server, const RequestDigest& digest);
-  /// All hosts had time to tell of the server's end. A host knows its own
-  /// requests' part in it before it hears of the culprit that another host had
-  /// there; it counts for all of them or for none.
+  /// Whether all hosts had time to report the server's end. A host knows which
+  /// of its own requests were involved before it hears of another host's poison
+  /// request on the same server, so an end counts for all of its requests or
+  /// for none.
   bool HasSettled(const Suspects& suspects, TimePoint now) const;
-  /// How strongly a request is suspected: the evidence of all its ends. A
-  /// request beside the culprit may be at one end more where the report of that
-  /// one was lost with its host; it does not outweigh it for that.
+  /// The evidence of all settled ends of a request, attributed to it or not.
+  /// Comparing evidence instead of the number of ends matters when a report of
+  /// the poison request is lost with its host: a request beside it may then be
+  /// involved in one end more.
   int TotalEvidence(const RequestDigest& digest, TimePoint now) const;
   bool IsAttributedTo(const Suspects& suspects,
                       const RequestDigest& digest,
                       TimePoint now) const;
   struct Attribution {
-    /// Ends laid to the request that all hosts had time to tell of.
+    /// Settled ends attributed to the request.
     int ends = 0;
     int evidence = 0;
     TimePoint first_end;
   };
   Attribution AttributeEnds(const RequestDigest& digest, TimePoint now) const;
   int EvidenceOf(EndProgress progress) const;
-  /// A host that was cut off from the one which had the culprit may have marked
-  /// a request that was at the same ends. With that host's reports its mark is
-  /// in force no more. Nothing is erased: all hosts see it alike.
+  /// Suspends blocks that the facts no longer support. A host that was
+  /// partitioned from the one with the poison request may have blocked another
+  /// request involved in the same ends. Once the missing reports arrive, that
+  /// block is no longer in force. No fact is erased, so all hosts reach the
+  /// same result.
   void ReviewBlocks(TimePoint now);
-  /// Evidence of the ends that no stronger marked request was at.
+  /// Evidence of the ends in which no blocked request with more evidence was
+  /// involved.
   int UnexplainedEvidence(const RequestDigest& digest, TimePoint now) const;
   void EvictExpired(TimePoint now);
   void BoundEnds();
   void BoundBlocks();
-  /// Drops the oldest word above the bound.
+  /// Evicts the oldest record above `max_records`.
   template <typename Records>
   void BoundRecords(Records& records) const;
   struct Row {
     uint64_t revision = 0;
     TimedPoisonFact timed;
   };
-  /// The facts that came after this revision, the oldest first.
+  /// The facts added after this revision, oldest first.
   std::vector<Row> FactsAfter(uint64_t revision, TimePoint now) const;
 
   PoisonPolicy m_policy;
--- a/source/poison_digest.cc
+++ b/source/poison_digest.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// 128 bits: no two requests of a fleet's life share a digest by chance.
+/// 128 bits, so that accidental collisions are negligible.
 constexpr size_t kDigits = 32;
 
 std::string LowerCase(std::string_view text) {
@@ -26,7 +26,8 @@
 RequestDigest DigestRequest(const RequestIdentity& identity) {
   const std::string hostname = LowerCase(identity.hostname);
   std::string text;
-  // Each part with its length, so that no two requests make one text.
+  // Each part is prefixed with its length, so that different requests never
+  // produce the same text.
   for (const std::string_view part :
        {identity.method, std::string_view(hostname), identity.target,
         identity.workspace, identity.body}) {
--- a/source/poison_ledger.cc
+++ b/source/poison_ledger.cc
@@ -180,7 +180,7 @@
     if (other == digest) {
       return false;
     }
-    // What is known to end servers explains an end that it was at.
+    // A blocked request explains every end in which it was involved.
     if (IsBlocked(other) != is_blocked) {
       return !is_blocked;
     }
@@ -206,7 +206,7 @@
   const auto block = m_blocks.find(digest);
   const bool expired = block != m_blocks.end() && block->second.expired;
   Attribution attribution;
-  // One more end of any kind marks it again.
+  // After its block expired, one more end of any kind blocks it again.
   attribution.evidence =
       expired ? m_policy.evidence_to_block - m_policy.answering_evidence : 0;
   for (const ServerInstance& server : m_ends_of.at(digest)) {
@@ -276,7 +276,7 @@
 void PoisonLedger::ReviewBlocks(TimePoint now) {
   for (auto& [digest, block] : m_blocks) {
     const auto ends = m_ends_of.find(digest);
-    // Of an old mark the ends are forgotten, and nothing speaks against it.
+    // The ends of an old block have expired, so no facts contradict it.
     const bool has_ends = ends != m_ends_of.end() &&
                           static_cast<int>(ends->second.size()) >= block.ends;
     block.explained = has_ends && UnexplainedEvidence(digest, now) <
@@ -362,7 +362,7 @@
   if (m_end_count <= m_policy.max_ends) {
     return;
   }
-  // Of the least suspected ones the oldest.
+  // Evict the oldest end among the requests with the fewest ends.
   const ServerInstance* server_out = nullptr;
   const RequestDigest* digest_out = nullptr;
   std::pair<size_t, TimePoint> lowest;
@@ -407,8 +407,8 @@
   const auto add = [&rows, now](uint64_t row, PoisonFact fact, TimePoint at) {
     rows.push_back({row, {std::move(fact), std::max(Duration(0), now - at)}});
   };
-  // Facts are made of new rows only: the loads of a large fleet are exchanged
-  // fifty times a second, and most rows are known.
+  // Facts are only built for new rows: in a large fleet, replies are produced
+  // fifty times a second and most rows are already known.
   for (const auto& [server, suspects] : m_ends) {
     for (const auto& [digest, end] : suspects) {
       if (end.revision > revision) {
@@ -436,7 +436,7 @@
       add(block.revision, TrialsSent{digest, block.trials}, block.tried_at);
     }
   }
-  // A mark stands before its trials, which have its revision.
+  // Stable, so that a block precedes its trials, which have the same revision.
   std::stable_sort(rows.begin(), rows.end(),
                    [](const Row& left, const Row& right) {
                      return left.revision < right.revision;
@@ -452,7 +452,7 @@
   std::vector<Row> rows = FactsAfter(known > m_revision ? 0 : known, now);
   if (rows.size() > m_policy.max_records_per_message) {
     rows.resize(m_policy.max_records_per_message);
-    // The next part begins with what may have the same revision.
+    // Continue with the rows that may share the last revision.
     update.revision = rows.back().revision - 1;
   }
   for (Row& row : rows) {
--- a/tests/poison_cost.cc
+++ b/tests/poison_cost.cc
@@ -1,5 +1,5 @@
-/// Prints what requests under which servers end cost an entry host when its
-/// memory of them is full.
+/// Measures the cost of poison request detection on an entry host whose ledger
+/// is full.
 
 #include <chrono>
 #include <cstdio>
@@ -50,15 +50,15 @@
   }
   const std::string body(2000, 'x');
   size_t bytes = 0;
-  std::printf("ends remembered: %zu\n", ledger.CountEnds());
+  std::printf("ends in the ledger: %zu\n", ledger.CountEnds());
   std::printf("digest of 2,000 bytes: %.2f us\n", MicrosecondsOf([&] {
                 bytes += DigestRequest({"POST", "h", "/x", "w", body}).size();
               }));
-  std::printf("decision, twelve times a second: %.1f us\n", MicrosecondsOf([&] {
-                bytes += ledger.UpdateBlocks(now).size();
-              }));
+  std::printf(
+      "update of blocks, twelve times a second: %.1f us\n",
+      MicrosecondsOf([&] { bytes += ledger.UpdateBlocks(now).size(); }));
   const uint64_t known = ledger.revision() - 1;
-  std::printf("answer with one new fact: %.1f us\n", MicrosecondsOf([&] {
+  std::printf("reply with one new fact: %.1f us\n", MicrosecondsOf([&] {
                 bytes += ledger.Since(known, now).facts.size();
               }));
   GossipReply rest;
@@ -66,7 +66,7 @@
   full.poison = ledger.Since(0, now);
   const size_t at_rest = EncodeGossipReply(rest).size();
   const size_t with_facts = EncodeGossipReply(full).size();
-  std::printf("a fact in a message: %.1f bytes\n",
+  std::printf("one fact in a message: %.1f bytes\n",
               static_cast<double>(with_facts - at_rest) /
                   static_cast<double>(full.poison.facts.size()));
   return bytes == 0 ? 1 : 0;
--- a/tests/poison_fixture.h
+++ b/tests/poison_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Names of requests and servers by number, for tests.
+/// Request digests and server instances by number, for tests.
 
 #include <string>
 
--- a/tests/poison_fleet_test.cc
+++ b/tests/poison_fleet_test.cc
@@ -11,9 +11,9 @@
 namespace filbertrack {
 namespace {
 
-/// Entry hosts that tell each other of ends, with a culprit whose copies come
-/// to any of them and innocent requests beside it. Hosts start anew, join late
-/// and are cut off from each other.
+/// Simulates entry hosts that exchange reports of ends, with a poison request
+/// whose copies reach any of them among unrelated requests. Hosts restart, join
+/// late and are partitioned from each other.
 class FleetSimulation {
  public:
   static constexpr int kPoisonRequest = 0;
@@ -21,14 +21,16 @@
   static constexpr int kSlots = 12;
   static constexpr Duration kRound = Milliseconds(150);
   static constexpr Duration kWindow = Seconds(3);
-  /// After a cut, until all are told and have settled.
+  /// Time after a partition until all hosts have received the reports and the
+  /// ends have settled.
   static constexpr Duration kHealTime = Seconds(1);
 
-  /// When hosts are killed.
+  /// When hosts may be killed.
   enum class KillTiming {
-    /// Not within two rounds of an end: what a host knew alone goes with it.
+    /// Not within two gossip rounds of an end, so that no unsent report is
+    /// lost.
     kAfterReport,
-    /// At any moment.
+    /// At any time.
     kAnyMoment,
   };
 
@@ -41,12 +43,12 @@
     }
   }
 
-  /// Sends of the culprit after the third end and the window, by hosts that
-  /// were neither cut off nor started within it.
+  /// Sends of the poison request later than the window after the third end, by
+  /// hosts that were neither partitioned nor started within the window.
   int late_sends() const { return m_late_sends; }
   int unrelated_refused() const { return m_unrelated_refused; }
-  /// Innocent requests that were refused, by digest, and the longest time from
-  /// the first to the last refusal of one of them.
+  /// Number of different unrelated requests that were refused, and the longest
+  /// time between the first and the last refusal of one of them.
   size_t distinct_unrelated_refused() const { return m_first_refusal.size(); }
   Duration max_refusal() const { return m_max_refusal; }
   int ends() const { return m_ends; }
@@ -86,7 +88,7 @@
     LoadRecord(m_hosts.back());
   }
 
-  /// The marks that the first host knew a moment ago.
+  /// Loads the blocks that the first host knows.
   void LoadRecord(Host& host) {
     for (const Blocked& block : m_hosts.front().ledger.ActiveBlocks()) {
       host.ledger.Note(block, m_now);
@@ -108,9 +110,11 @@
         Draw(0, static_cast<int>(m_hosts.size()) - 1))];
     switch (Draw(0, 2)) {
       case 0:
-        // One host stays: a loss of all is the record's matter.
-        // What a host knew alone goes with it: one that is cut off, or had the
-        // culprit within the last round. Nobody can lay those ends to it then.
+        // The first host is never killed; the loss of all hosts is covered by
+        // the tests of the record. A killed host loses reports that it has not
+        // sent yet, if it is partitioned or had the poison request within the
+        // last two rounds. Those ends can then not be attributed to the poison
+        // request.
         if (&host != &m_hosts.front() && MayKill(host)) {
           host.ledger = PoisonLedger(PoisonPolicy{}, m_random() >> 20);
           host.known.clear();
@@ -150,7 +154,7 @@
               m_hosts[j].ledger.Since(host.known[j], m_now);
           host.known[j] = update.revision;
           for (const TimedPoisonFact& row : update.facts) {
-            // Its time on the way is not in its age.
+            // The age does not include the transit time.
             host.ledger.Note(row.fact,
                              m_now - row.age + Milliseconds(Draw(0, 20)));
           }
@@ -164,8 +168,8 @@
         Draw(0, static_cast<int>(m_hosts.size()) - 1))];
   }
 
-  /// Each server has requests of all hosts, drawn anew for each end; those that
-  /// were at the last one come again more often.
+  /// A server has requests of all hosts, drawn anew for each end; those that
+  /// were involved in the last end are drawn more often.
   void EndServer(Host& sender) {
     sender.last_poison_request = m_now;
     ++m_ends;
@@ -240,7 +244,7 @@
   int m_server = 0;
   int m_ends = 0;
   TimePoint m_third_end;
-  /// Since when no host is cut off.
+  /// Since when no host is partitioned.
   TimePoint m_no_partition_since = kStart - kHealTime;
   int m_late_sends = 0;
   int m_unrelated_refused = 0;
@@ -248,13 +252,14 @@
 };
 
 TEST_CASE(
-    "any delays, starts, joins and cuts of hosts: at most three sends "
-    "late, and no innocent is refused") {
-  // The culprit comes about ten times a second to hosts at random. Of 12
-  // requests beside it on a server a quarter were at the last end too, because
-  // they are taken up where it comes next: in the incident 20 of 127 were. A
-  // host that is cut off neither tells nor hears; its sends in that time and
-  // within the window after it do not count.
+    "delays, restarts, joins and partitions of hosts: at most three late "
+    "sends, no unrelated request refused") {
+  // The poison request arrives about ten times a second at random hosts. A
+  // quarter of the 12 concurrent requests on a server were also involved in the
+  // last end, because they are retried where the poison request arrives next;
+  // in the incident 20 of 127 were. A partitioned host neither sends nor
+  // receives reports; its sends during the partition and within the window
+  // after it do not count.
   REQUIRE(rc::check("fleets", [] {
     FleetSimulation run(*rc::gen::arbitrary<uint64_t>());
     run.Run();
@@ -265,14 +270,12 @@
 }
 
 TEST_CASE(
-    "a host that had the culprit is killed before it told: one innocent "
-    "request "
-    "is refused at most, until its trial") {
-  // A host has the culprit at several ends and is cut off, or is killed within
-  // a round of one: its reports go with it. The rest of the fleet finds a
-  // request that was beside the culprit at these ends and lays them to it. Its
-  // callers are refused until a copy is let through, which is answered and
-  // takes the mark off.
+    "a host killed before it reports an end: at most one unrelated request is "
+    "refused, until its trial") {
+  // A host that had the poison request in several ends is partitioned, or is
+  // killed within a round of one, so its reports are lost. The other hosts
+  // attribute these ends to a request that was running beside it. That request
+  // is refused until a trial copy is answered, which lifts the block.
   const Duration until_trial = PoisonPolicy{}.trial_pauses[0] + Seconds(2);
   std::vector<uint64_t> seeds = {258, 619, 1825};
   for (uint64_t seed = 1; seed <= 100; ++seed) {
@@ -288,11 +291,12 @@
   }
 }
 
-TEST_CASE("seeds at which innocent requests were marked stay good") {
-  // Causes: ends that not all hosts had told of yet counted for the request
-  // that they had; a request at one end more than the culprit, whose report was
-  // lost, took all its ends over; a mark was never taken back; one end counted
-  // for a request and not yet for the culprit, whose report had come later.
+TEST_CASE("regression seeds: no unrelated request is blocked") {
+  // Regression seeds. The faults were: an end counted for a request before all
+  // hosts had reported theirs; a request that was involved in one end more than
+  // the poison request, one of whose reports was lost, had all its ends
+  // attributed to it; a block was never withdrawn; one end counted for a
+  // request but not yet for the poison request, whose report arrived later.
   for (const uint64_t seed :
        {uint64_t{6}, uint64_t{118}, uint64_t{3017}, uint64_t{48005},
         uint64_t{2378736}, uint64_t{55852158}, uint64_t{203221945},
--- a/tests/poison_test.cc
+++ b/tests/poison_test.cc
@@ -8,15 +8,15 @@
 namespace filbertrack {
 namespace {
 
-/// Later than reports of an end may still come.
+/// Longer than the settle time of an end.
 constexpr Duration kSettled = Milliseconds(600);
 
 PoisonLedger MakeLedger() {
   return PoisonLedger(PoisonPolicy{}, 1000);
 }
 
-/// A server ends under the culprit, which had just begun, and under requests
-/// beside it that had run for a while.
+/// Reports a server that ended while running the poison request, which had just
+/// begun, and concurrent requests that had been running for a while.
 void ReportEnd(PoisonLedger& ledger,
                int server,
                const std::vector<int>& concurrent,
@@ -33,7 +33,7 @@
   }
 }
 
-TEST_CASE("copies of a request have one name whatever the caller writes") {
+TEST_CASE("copies of a request have the same digest") {
   const RequestIdentity identity{"POST", "h.example", "/s/x?a=1", "w", "body"};
   const RequestDigest digest = DigestRequest(identity);
   CHECK(IsRequestDigest(digest));
@@ -48,14 +48,14 @@
     other.*part = "another";
     CHECK(DigestRequest(other) != digest);
   }
-  // Parts do not run into each other.
+  // The boundaries between the parts are significant.
   CHECK(DigestRequest({"P", "h", "/a", "b", "c"}) !=
         DigestRequest({"P", "h", "/ab", "", "c"}));
   CHECK_FALSE(IsRequestDigest("0123"));
   CHECK_FALSE(IsRequestDigest(std::string(32, 'G')));
 }
 
-TEST_CASE("the third end marks a request, once all hosts had time to tell") {
+TEST_CASE("the third end blocks a request after the settle time") {
   PoisonLedger ledger = MakeLedger();
   ReportEnd(ledger, 1, {}, 0, kStart);
   ReportEnd(ledger, 2, {}, 0, kStart);
@@ -70,7 +70,7 @@
         std::vector<std::string>{"s1", "s2", "s3"});
 }
 
-TEST_CASE("where reports pass through few hosts, an end counts later") {
+TEST_CASE("an end settles later where reports are relayed") {
   PoisonLedger ledger = MakeLedger();
   ledger.SetRelayed(true);
   for (int server = 1; server <= 3; ++server) {
@@ -80,8 +80,9 @@
   CHECK(ledger.UpdateBlocks(kStart + Milliseconds(1600)).size() == 1);
 }
 
-TEST_CASE("one end is one end, however many hosts tell of it") {
-  // Six entry hosts had copies at one server, and each tells of its end.
+TEST_CASE("an end reported by several hosts counts once") {
+  // Six entry hosts had copies of the request on one server, and each reports
+  // its end.
   PoisonLedger ledger = MakeLedger();
   for (int host = 0; host < 6; ++host) {
     ReportEnd(ledger, 1, {}, 0, kStart + Milliseconds(host));
@@ -90,11 +91,12 @@
 }
 
 TEST_CASE(
-    "a request that follows the culprit from server to server is not "
-    "marked") {
-  // A stream breaks off with its server and is taken up by the next one, where
-  // the culprit comes again: it is at as many ends as the culprit. It had run
-  // for a while each time; the other one had just begun.
+    "a request retried on the same servers as the poison request is not "
+    "blocked") {
+  // A stream that breaks with its server is resumed on the next one, where the
+  // poison request is retried as well, so it is involved in as many ends. It
+  // had been running for a while each time, whereas the poison request had just
+  // begun.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
     ReportEnd(ledger, server, {1, 10 + server}, 0, kStart + Seconds(server));
@@ -102,8 +104,8 @@
   ledger.UpdateBlocks(kStart + Seconds(10));
   CHECK(ledger.IsBlocked(MakeDigest(0)));
   CHECK_FALSE(ledger.IsBlocked(MakeDigest(1)));
-  // Further ends are the marked one's doing, also where nothing had come of
-  // the other.
+  // Further ends are attributed to the blocked request, even where a single
+  // end is stronger evidence against the other one.
   for (int server = 4; server <= 8; ++server) {
     ledger.Note(EndedDuringRequest{MakeServerInstance(server), MakeDigest(0),
                                    EndProgress::kNoAnswer},
@@ -116,19 +118,19 @@
   CHECK_FALSE(ledger.IsBlocked(MakeDigest(1)));
 }
 
-TEST_CASE("an answer clears a request, and late reports do not bring it back") {
+TEST_CASE("an answer clears a request, and late reports are ignored") {
   PoisonLedger ledger = MakeLedger();
   ReportEnd(ledger, 1, {}, 0, kStart);
   ReportEnd(ledger, 2, {}, 0, kStart);
   ledger.Note(Cleared{MakeDigest(0)}, kStart + Seconds(1));
-  // A host that was cut off tells of an end before that.
+  // A host that was partitioned reports an end from before the answer.
   CHECK_FALSE(
       ledger.Note(EndedDuringRequest{MakeServerInstance(3), MakeDigest(0),
                                      EndProgress::kBegun},
                   kStart));
   CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
   CHECK(ledger.IsEmpty());
-  // Ends after it count anew.
+  // Ends after the answer count again.
   for (int server = 4; server <= 6; ++server) {
     ReportEnd(ledger, server, {}, 0, kStart + Seconds(6));
   }
@@ -137,9 +139,10 @@
   CHECK_FALSE(ledger.IsBlocked(MakeDigest(0)));
 }
 
-TEST_CASE("a server that answers again did not end") {
-  // A cut between one entry host and the servers breaks its connections and
-  // refuses new ones, as ends do. Other hosts get answers from them.
+TEST_CASE("an answer from a server cancels its reported end") {
+  // A network partition between one entry host and the servers breaks its
+  // connections and refuses new ones, as ends do. Other hosts still receive
+  // answers from the servers.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
     ReportEnd(ledger, server, {}, 0, kStart);
@@ -148,14 +151,12 @@
   ledger.Note(FoundAlive{MakeServerInstance(1)}, kStart + Milliseconds(300));
   CHECK_FALSE(ledger.EndedAt(MakeServerInstance(1)));
   CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
-  // Another host's report of the same end comes late.
+  // Another host's report of the same end arrives late.
   ReportEnd(ledger, 1, {}, 0, kStart);
   CHECK(ledger.UpdateBlocks(kStart + Seconds(5)).empty());
 }
 
-TEST_CASE(
-    "ever new requests under which servers end do not push out one that "
-    "comes again") {
+TEST_CASE("a stream of new suspects does not evict a recurring one") {
   PoisonLedger ledger = MakeLedger();
   ReportEnd(ledger, 1, {}, 0, kStart);
   ReportEnd(ledger, 2, {}, 0, kStart);
@@ -169,7 +170,7 @@
   CHECK(blocked[0].digest == MakeDigest(0));
 }
 
-TEST_CASE("a mark lapses, and one more end brings it back") {
+TEST_CASE("a block expires, and one more end renews it") {
   const PoisonPolicy policy;
   PoisonLedger ledger = MakeLedger();
   ledger.Note(Blocked{MakeDigest(0), 3}, kStart);
@@ -182,11 +183,11 @@
 }
 
 TEST_CASE(
-    "two copies of a marked request are let through, and an answer takes "
-    "the mark off") {
-  // All servers of a service lose power together, each with a copy of what
-  // callers ask all the time. It is marked; when the servers are back one copy
-  // is answered, and all are served again.
+    "two trial copies of a blocked request are sent, and an answer lifts the "
+    "block") {
+  // All servers of a service lose power together while running copies of a
+  // common request, which is blocked. Once the servers are back, a trial copy
+  // is answered and the block is lifted.
   PoisonLedger ledger = MakeLedger();
   for (int server = 1; server <= 3; ++server) {
     ReportEnd(ledger, server, {}, 0, kStart);
@@ -197,7 +198,7 @@
   REQUIRE(ledger.MayStartTrial(MakeDigest(0), now));
   ledger.BeginTrial(MakeDigest(0), now);
   CHECK_FALSE(ledger.MayStartTrial(MakeDigest(0), now + Seconds(30)));
-  // Another host hears of both at once.
+  // Another host receives the block and the trial in one update.
   PoisonLedger other = MakeLedger();
   for (const TimedPoisonFact& row : ledger.Since(0, now).facts) {
     other.Note(row.fact, now - row.age);
@@ -211,7 +212,7 @@
   CHECK_FALSE(other.IsBlocked(MakeDigest(0)));
 }
 
-TEST_CASE("a host that starts is told all, in parts if need be") {
+TEST_CASE("a new host receives all facts, in several messages if necessary") {
   PoisonLedger ledger = MakeLedger();
   for (int i = 0; i < 600; ++i) {
     ReportEnd(ledger, i, {}, i, kStart);
@@ -231,14 +232,17 @@
   CHECK(ledger.Since(known, kStart).facts.empty());
   CHECK(fresh.CountEnds() == 600);
   CHECK(fresh.IsBlocked(MakeDigest(7)));
-  // Whoever knows a revision of an earlier process is told all.
+  // A peer that knows a revision of an earlier process receives all facts.
   CHECK_FALSE(ledger.Since(ledger.revision() + 5, kStart).facts.empty());
 }
 
-TEST_CASE("facts come to rest, though each way makes them younger") {
-  // Two hosts tell each other a word that clears, a server that lives and a
-  // mark with its trial. Nothing happens after that, so after one round there
-  // is nothing to tell.
+TEST_CASE(
+    "the exchange of facts terminates although transit makes them appear "
+    "newer") {
+  // Guards against facts that circulate forever, because each transfer makes
+  // them appear more recent. Two hosts exchange a cleared request, a live
+  // server and a block with its trial; after one round there must be nothing
+  // left to send.
   PoisonLedger left = MakeLedger();
   PoisonLedger right(PoisonPolicy{}, 50000);
   ReportEnd(left, 1, {5}, 0, kStart);
@@ -263,7 +267,7 @@
   }
   CHECK(left.revision() == left_revision);
   CHECK(right.revision() == right_revision);
-  // A mark is told once as new.
+  // A block is returned as new only once.
   for (int server = 11; server <= 13; ++server) {
     ReportEnd(left, server, {}, 0, now);
   }
