--- a/include/filbertrack/keyed_ledger.h
+++ b/include/filbertrack/keyed_ledger.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Which requests with an idempotency key may run. A key is claimed before its
-/// request is sent anywhere; of all claims of a key one at most is told to run,
-/// unless that one is proved not to have run.
+/// Decides which requests with an idempotency key may run. A key is claimed
+/// before its request is sent to any backend server. At most one claim of a key
+/// is granted, unless the granted one is known not to have run.
 
 #include <cstdint>
 #include <functional>
@@ -19,24 +19,25 @@
 
 namespace filbertrack {
 
-/// "May I run the request with this key?"
+/// Asks for permission to run the request with this key.
 struct KeyClaim {
   std::string key;  ///< Hash of workspace and idempotency key.
   std::string claim_id;
   std::string node;  ///< Entry host that wants to run it.
   uint64_t incarnation = 0;
-  /// Hash of the request; a key must not be used for two different ones.
+  /// Hash of the request, used to reject a key that is reused for a different
+  /// request.
   std::string fingerprint;
 };
 
-/// "This is what came of the claim."
+/// Records the outcome of a granted claim.
 struct KeyCompletion {
   std::string key;
   std::string claim_id;
   Outcome outcome = Outcome::kUnknown;
   int status = 0;
   std::string content_type;
-  /// The caller's answer; `has_body` is false where it was too large to keep.
+  /// The response body; `has_body` is false if it was too large to store.
   std::string body;
   bool has_body = false;
 };
@@ -45,18 +46,18 @@
 
 enum class KeyVerdict {
   kRun,
-  /// Another claim of the key is running.
+  /// Another claim of the key is still running.
   kInProgress,
-  /// Another claim may have run, and nobody can tell.
+  /// Another claim may have run; its outcome cannot be determined.
   kOutcomeUnknown,
   kReused,
-  /// It ran; here is its answer.
+  /// The request ran; the stored response is returned.
   kReplay,
-  /// It ran; its answer is not kept.
+  /// The request ran, but its response was not stored.
   kAnswerNotStored,
-  /// Nothing could be recorded; nothing may run.
+  /// The operation could not be recorded, so the request must not run.
   kUnavailable,
-  /// The completion is recorded.
+  /// The completion has been recorded.
   kRecorded,
 };
 
@@ -67,19 +68,19 @@
   std::string body;
 };
 
-/// Tells whether the entry host's process that made a claim still lives.
+/// Returns whether the entry host process that made a claim is still alive.
 using IsLiveNode =
     std::function<bool(const std::string& node, uint64_t incarnation)>;
 
-/// All recorded orders of one partition of keys.
+/// The recorded claims and completions of one partition of the key space.
 class KeyLedger {
  public:
-  /// The answer that needs no new record; nullopt where the order must be
-  /// recorded first.
+  /// Returns the answer to `operation` if it follows from what is recorded, or
+  /// nullopt if the operation must be recorded first. Changes nothing.
   std::optional<KeyAnswer> Peek(const KeyOperation& operation,
                                 const IsLiveNode& is_live) const;
 
-  /// Applies a recorded order. Applying one twice changes nothing.
+  /// Applies a recorded operation. Idempotent.
   void Apply(const KeyOperation& operation);
 
   size_t size() const { return m_entries.size(); }
@@ -104,10 +105,10 @@
 std::string EncodeKeyOperation(const KeyOperation& operation);
 Result<KeyOperation> DecodeKeyOperation(std::string_view bytes);
 std::string EncodeKeyAnswer(const KeyAnswer& answer);
-/// Bytes that cannot be read are an answer of kUnavailable.
+/// Malformed input yields an answer with KeyVerdict::kUnavailable.
 KeyAnswer DecodeKeyAnswer(std::string_view bytes);
 
-/// The key under which a workspace's idempotency key is recorded.
+/// Returns the ledger key of a workspace's idempotency key: a hash of both.
 std::string LedgerKey(std::string_view workspace,
                       std::string_view idempotency_key);
 
--- a/include/filbertrack/keyed_partition.h
+++ b/include/filbertrack/keyed_partition.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// One partition of the idempotency keys, as its owner keeps it: a log in the
-/// object API, many orders to a write. The owner is whoever the live entry
-/// hosts say; two of them cannot both win, because every write names the
-/// version of the log's head that its writer had read.
+/// One partition of the idempotency keys, kept by its owner as a log in the
+/// object API, with several operations per write. The set of live entry hosts
+/// determines the owner. If two hosts both act as owner, only one can write:
+/// every write is conditional on the version of the head object that the writer
+/// last read.
 
 #include <cstdint>
 #include <map>
@@ -20,15 +21,18 @@
 namespace filbertrack {
 
 struct KeyPartitionPolicy {
-  /// Orders gather for this long before a write.
+  /// Minimum interval between two batch writes.
   Duration gather = Milliseconds(40);
-  /// An order that is not recorded by then is answered as unavailable.
+  /// An operation not recorded within this time is answered with
+  /// KeyVerdict::kUnavailable.
   Duration operation_timeout = Seconds(2);
-  /// Between two tries to read the log while the store does not answer.
+  /// Minimum interval between two attempts to load the log while the store does
+  /// not answer.
   Duration retry = Milliseconds(200);
-  /// A head larger than this is sealed into a segment.
+  /// A head object larger than this is sealed: its operations move to a segment
+  /// object.
   size_t seal_bytes = 64 * 1024;
-  /// Segments older than this are forgotten, with their keys.
+  /// Segments older than this are dropped together with their keys.
   int64_t retention_ms = 24LL * 3600 * 1000;
 };
 
@@ -47,7 +51,7 @@
 using KeyAction =
     std::variant<ReadKeyObject, WriteKeyObject, AnswerKeyOperation>;
 
-/// What came of a read or a write.
+/// Result of a read or a write.
 enum class KeyStoreStatus { kOk, kConflict, kNotFound, kUnavailable };
 
 class KeyPartition {
@@ -55,11 +59,13 @@
   KeyPartition(std::string name, KeyPartitionPolicy policy)
       : m_name(std::move(name)), m_policy(policy) {}
 
-  /// An order; its answer comes as an action with the same id, at the latest
-  /// after `give_up`.
+  /// Queues an operation. The answer is returned as an AnswerKeyOperation with
+  /// the same `id`, at the latest after `operation_timeout`.
   void Submit(uint64_t id, KeyOperation operation, TimePoint now);
 
-  /// To be called often. `wall_ms` dates sealed segments.
+  /// Answers timed-out operations and starts the next read or write. Must be
+  /// called periodically. `wall_ms` is the Unix time in ms that dates sealed
+  /// segments.
   std::vector<KeyAction> OnTick(const IsLiveNode& is_live,
                                 TimePoint now,
                                 int64_t wall_ms);
@@ -73,7 +79,8 @@
                                    KeyStoreStatus status,
                                    uint64_t version);
 
-  /// Writes begun, for measuring how many orders share one.
+  /// Number of writes started, from which tests derive the operations per
+  /// write.
   uint64_t writes() const { return m_writes; }
 
  private:
@@ -112,7 +119,7 @@
   std::set<std::string> m_read_segments;
   KeyLedger m_ledger;
   std::vector<PendingOperation> m_pending;
-  /// Orders of the write that is under way.
+  /// Operations of the write in flight.
   std::vector<PendingOperation> m_batch;
   Head m_next_head;
   std::string m_sealing_key;
--- a/source/keyed_ledger.cc
+++ b/source/keyed_ledger.cc
@@ -51,7 +51,7 @@
   }
   const Entry& entry = found->second;
   if (entry.claim.claim_id == claim.claim_id && !entry.completion) {
-    // An earlier write of this very claim took effect and its answer was lost.
+    // An earlier write of this claim took effect, but its answer was lost.
     return KeyAnswer{KeyVerdict::kRun, 0, "", ""};
   }
   if (entry.completion && entry.completion->outcome == Outcome::kNotRun) {
@@ -88,8 +88,9 @@
   }
   if (found == m_entries.end() ||
       found->second.claim.claim_id != completion.claim_id) {
-    // The claim was never recorded, so there is nothing to complete. A late
-    // write of it could still come; the completion is recorded to close it.
+    // The claim was never recorded, so there is nothing to complete. A delayed
+    // write of it could still arrive; recording the completion closes the claim
+    // in advance.
     return completion.outcome == Outcome::kNotRun && found == m_entries.end()
                ? std::nullopt
                : std::optional(KeyAnswer{KeyVerdict::kRecorded, 0, "", ""});
@@ -132,10 +133,10 @@
                            value.at(7)};
     }
   } catch (const Json::exception&) {
-    // Falls through to the refusal below.
+    // Reported as malformed below.
   }
   return Fail(ResultCode::kBadRequest,
-              "An order about an idempotency key cannot be read.");
+              "The idempotency key operation is malformed.");
 }
 
 std::string EncodeKeyOperation(const KeyOperation& operation) {
--- a/source/keyed_partition.cc
+++ b/source/keyed_partition.cc
@@ -78,8 +78,8 @@
     return true;
   };
   std::erase_if(m_pending, timed_out);
-  // A write under way may still take effect; its claims are then abandoned by
-  // whoever asked, and nothing runs for them.
+  // A write in flight may still take effect. The submitter then abandons its
+  // claims, so nothing runs for them.
   std::erase_if(m_batch, timed_out);
   return actions;
 }
@@ -95,8 +95,8 @@
       continue;
     }
     // Applied before it is stored, so that a second claim of the key in the
-    // same write is not told to run as well. If the write fails, the ledger is
-    // read anew.
+    // same batch is not granted as well. If the write fails, the ledger is
+    // reloaded.
     m_ledger.Apply(pending.operation);
     next.operations.push_back(pending.operation);
     m_batch.push_back(std::move(pending));
@@ -113,8 +113,9 @@
 std::vector<KeyAction> KeyPartition::StartSeal(int64_t wall_ms) {
   const uint64_t number =
       m_head.segments.empty() ? 1 : m_head.segments.back().number + 1;
-  // The head's version makes the name this owner's own: another owner that
-  // sealed the same number from other orders wrote elsewhere.
+  // The head's version makes the object name unique to this owner. Another
+  // owner that seals a segment of the same number with other operations writes
+  // to another object.
   m_sealing_key = "keyed/" + m_name + "/segment-" + std::to_string(number) +
                   "-" + std::to_string(m_version);
   m_next_head = Head();
@@ -188,7 +189,9 @@
                                                uint64_t version) {
   if (m_step == Step::kSealing && key == m_sealing_key) {
     if (status == KeyStoreStatus::kUnavailable) {
-      m_step = Step::kIdle;  // The name is ours: the next tick writes it again.
+      // The object name is unique to this owner, so the next tick can write it
+      // again.
+      m_step = Step::kIdle;
       return {};
     }
     m_step = Step::kWriting;
@@ -199,11 +202,11 @@
   }
   m_step = Step::kIdle;
   if (status != KeyStoreStatus::kOk) {
-    // Another owner wrote, or the write's fate is unknown. Either way the log
-    // itself tells which orders are recorded: those of this batch that are
-    // found there are answered from it, the others are written again. An old
-    // write that is still on its way cannot do harm, since its version is gone
-    // by then or it says the same.
+    // Another owner wrote, or the outcome of the write is unknown. In both
+    // cases the log determines which operations are recorded: those of this
+    // batch found there are answered from it, the others are written again. A
+    // delayed write does no harm, since by then its expected version is
+    // outdated or its content is the same.
     DiscardLoadedState();
     return {};
   }
--- a/tests/keyed_test.cc
+++ b/tests/keyed_test.cc
@@ -11,8 +11,8 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-/// The object API at the interface of a partition: conditional writes that may
-/// take effect late, or take effect and be answered with nothing.
+/// The object API as a partition sees it: conditional writes that may take
+/// effect late, or take effect without their response arriving.
 struct FakeStore {
   std::map<std::string, std::pair<std::string, uint64_t>> objects;
   std::deque<WriteKeyObject> delayed_writes;
@@ -32,7 +32,7 @@
 
 enum class WriteOutcome { kAnswered, kResponseLost, kDelayed, kDropped };
 
-/// One owner of the partition and the answers that it gave.
+/// One owner of the partition and the answers that it returned.
 class FakeOwner {
  public:
   FakeOwner(FakeStore& store, KeyPartitionPolicy policy)
@@ -112,9 +112,10 @@
 
 const auto kAnswered = [] { return WriteOutcome::kAnswered; };
 
-TEST_CASE("a second try on another entry host is not run again") {
-  // The caller gets the first answer again. Its first try ran through one
-  // owner; that owner died, and the next one reads the log.
+TEST_CASE("a retry on another entry host receives the stored response") {
+  // Guards against a retried request that runs again after a change of owner.
+  // The first attempt ran through one owner, which then failed; the next owner
+  // loads the log and must return the stored response.
   FakeStore store;
   FakeOwner first(store, KeyPartitionPolicy());
   first.Submit(1, Claim("k", 1), kStart);
@@ -139,8 +140,9 @@
   CHECK(second.answers[4].verdict == KeyVerdict::kReused);
 }
 
-TEST_CASE("while the store is down nothing runs, and the caller is told") {
-  // The caller sees 503 not-run after two seconds, not a hung request.
+TEST_CASE("claims are answered as unavailable while the store is down") {
+  // The caller must receive 503 not-run after two seconds instead of waiting
+  // for the store.
   FakeStore store;
   store.down = true;
   FakeOwner owner(store, KeyPartitionPolicy());
@@ -152,9 +154,10 @@
   CHECK(owner.answers[1].verdict == KeyVerdict::kUnavailable);
 }
 
-TEST_CASE("a claim whose answer was lost runs, once") {
-  // The caller sees a whole answer. The store took the write and answered with
-  // nothing; the owner reads the log and finds its own claim there.
+TEST_CASE("a claim whose write response was lost is granted once") {
+  // Guards against a granted claim that is refused because its write's response
+  // was lost. The store applied the write; the owner reloads the log and finds
+  // its own claim there.
   FakeStore store;
   FakeOwner owner(store, KeyPartitionPolicy());
   bool lost = false;
@@ -172,9 +175,10 @@
   CHECK(owner.writes() == 1);
 }
 
-TEST_CASE("a claim that was abandoned before it took effect lets others run") {
-  // The caller's second try runs. The first one was answered not-run because
-  // the store was slow; its claim came into the log later.
+TEST_CASE("a claim abandoned before it took effect does not block the key") {
+  // Guards against a key that stays claimed by an abandoned attempt. The first
+  // attempt was answered not-run because the store was slow, and its completion
+  // is recorded before its delayed claim.
   FakeStore store;
   FakeOwner owner(store, KeyPartitionPolicy());
   owner.Submit(
@@ -187,7 +191,7 @@
   CHECK(owner.answers[2].verdict == KeyVerdict::kRun);
 }
 
-TEST_CASE("many orders share one write") {
+TEST_CASE("many operations share one write") {
   FakeStore store;
   FakeOwner owner(store, KeyPartitionPolicy());
   TimePoint now = kStart;
@@ -207,9 +211,9 @@
   CHECK(owner.writes() * 5 < requests);
 }
 
-TEST_CASE("property: one claim of a key at most is told to run") {
-  // Two hosts both believe that they own the partition; writes are lost, late
-  // or take effect without an answer; segments are sealed often.
+TEST_CASE("property: at most one claim of a key is granted") {
+  // Two hosts both act as owner of the partition; writes are lost, delayed or
+  // applied without a response, and segments are sealed often.
   REQUIRE(rc::check("once", [] {
     FakeStore store;
     KeyPartitionPolicy policy;
@@ -261,7 +265,7 @@
             ++runs[pending.key];
             RC_ASSERT(runs[pending.key] <= 1);
           } else if (answer.verdict == KeyVerdict::kUnavailable) {
-            // As the entry host does: what it will not run it abandons.
+            // Like the entry host, abandon a claim that will not run.
             each.Submit(++next_id,
                         KeyCompletion{pending.key, pending.claim_id,
                                       Outcome::kNotRun, 0, "", "", false},
@@ -273,7 +277,7 @@
   }));
 }
 
-TEST_CASE("property: no stored or received bytes crash their reading") {
+TEST_CASE("property: malformed stored or received bytes are parsed safely") {
   REQUIRE(rc::check("bytes", [] {
     std::string bytes = EncodeKeyOperation(Claim("k", 1));
     bytes[*rc::gen::inRange<size_t>(0, bytes.size())] =
