--- a/include/filbertrack/request_held_answers.h
+++ b/include/filbertrack/request_held_answers.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// What happens to answers that callers read slowly, or not at all, when the
-/// bytes held for all callers reach the host's bound.
+/// Decides what happens to responses that callers read slowly or not at all
+/// when the bytes buffered for all callers reach the host's limit.
 ///
-/// The load that it is made for: thousands of callers that read a byte a second
-/// at a host of 112 MB. Each answer is small, all of them together are not, and
-/// a process that exceeds its memory takes every request with it.
+/// The design case: thousands of callers that read one byte per second from a
+/// host with 112 MB of memory. Each response is small, but their sum is not,
+/// and a process that exceeds its memory is killed with every request on it.
 
 #include <cstddef>
 #include <cstdint>
@@ -18,26 +18,28 @@
 namespace filbertrack {
 
 struct HeldAnswersPolicy {
-  /// Bound of all bytes held for callers.
+  /// Limit of the bytes buffered for all callers.
   size_t max_bytes = 64 * 1024 * 1024;
-  /// From this part of the bound on, nothing more is read from servers for
-  /// callers that do not keep up.
+  /// Fraction of `max_bytes` above which responses to callers that do not keep
+  /// up are no longer read from the servers.
   double pause_fraction = 0.5;
-  /// An answer counts as read while its caller took a byte within this.
+  /// A response counts as being read if its caller took a byte within this
+  /// time.
   Duration read_timeout = Seconds(1);
 };
 
 struct HeldAnswersDecision {
-  /// Answers that wait for their callers are read no further.
+  /// Stop reading responses whose callers do not keep up.
   bool pauses = false;
-  /// No further request is taken.
+  /// Accept no further requests.
   bool is_full = false;
-  /// Connections to close, those that hold most first.
+  /// Connections to close, largest buffers first.
   std::vector<uint64_t> drops;
 };
 
-/// `other_bytes`: held for callers beside their answers, such as bodies of
-/// requests. An answer that is being read is never dropped.
+/// Evaluates the buffered responses. `other_bytes` is what is buffered for
+/// callers besides responses, such as request bodies. A response that is being
+/// read is never dropped.
 HeldAnswersDecision EvaluateHeldAnswers(std::span<const HeldAnswer> answers,
                                         size_t other_bytes,
                                         const HeldAnswersPolicy& policy);
--- a/include/filbertrack/request_intake.h
+++ b/include/filbertrack/request_intake.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Reads what a caller sent into a typed request, or into the refusal that it
-/// gets. Nothing here leaves this host, so each refusal is `not-run`.
+/// Parses a caller's HTTP request into a typed request or an error. Nothing has
+/// been sent to a backend server at this stage, so the outcome of each of these
+/// errors is `not-run`.
 
 #include <optional>
 #include <string>
@@ -18,17 +19,17 @@
 inline constexpr std::string_view kChatPath = "/v1/chat/completions";
 inline constexpr std::string_view kServicePathPrefix = "/services/";
 
-/// The parts of an HTTP request that matter, as the caller wrote them.
+/// The relevant parts of an HTTP request, exactly as the caller sent them.
 struct RawRequest {
   bool is_post = false;
-  /// GET and HEAD may be repeated unless the caller says otherwise.
+  /// GET or HEAD, which may be repeated unless the caller forbids it.
   bool is_read = false;
   std::string_view target;
   std::string_view authorization;
   std::string_view idempotency_key;
-  /// "true" or "false"; empty: the default of the kind of request.
+  /// "true" or "false"; empty selects the default of the request type.
   std::string_view idempotent;
-  /// Milliseconds from now; empty: the default.
+  /// Milliseconds from arrival; empty selects the default.
   std::string_view deadline_ms;
   std::string_view body;
 };
@@ -39,9 +40,9 @@
   size_t max_key_bytes = 200;
 };
 
-/// A request that is understood and whose workspace is known.
+/// A valid request from a known workspace.
 struct CallerRequest {
-  // Copies, because a newer configuration may come in force meanwhile.
+  // Copies, because the configuration may be replaced while the request runs.
   std::string workspace;
   int priority = 0;
   std::string service;
@@ -52,11 +53,11 @@
   std::string idempotency_key;
   TimePoint arrived;
   TimePoint deadline;
-  /// Hash of the first message, which requests of one kind share.
+  /// Hash of the first message, which requests of the same kind share.
   std::string prefix;
   /// Model requests only.
   nlohmann::json body;
-  /// Plain requests only: the path and query behind the service's name.
+  /// Plain requests only: the path and query after the service's name.
   std::string service_target;
 };
 
@@ -65,10 +66,11 @@
                                         const IntakePolicy& policy,
                                         TimePoint now);
 
-/// The body that goes to a group: with the tokens that the caller has already.
+/// Returns the body to send to a group. A `resume_from` other than 0 is the
+/// number of tokens that the caller has already received.
 std::string BodyForAttempt(const CallerRequest& request, uint64_t resume_from);
 
-/// The body of a refusal.
+/// Returns the JSON body of an error response.
 std::string RefusalBody(ResultCode code,
                         Outcome outcome,
                         std::string_view request_id);
--- a/include/filbertrack/request_machine.h
+++ b/include/filbertrack/request_machine.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// The life of one accepted request, as a plain function over (state, event,
+/// State machine of one accepted request: a pure function of (state, event,
 /// now) that returns actions. It decides when a request may be sent again,
-/// where a stream goes on, and what may be said of a request that was refused.
+/// where a stream resumes, and which outcome is reported for a request that
+/// failed.
 
 #include <cstdint>
 #include <string>
@@ -16,79 +17,84 @@
 namespace filbertrack {
 
 enum class AnswerShape {
-  /// The answer goes to the caller once all of it is here.
+  /// The response is sent to the caller once it is complete.
   kWhole,
-  /// Tokens go to the caller as they come; an attempt that dies is resumed
-  /// after the last token that was forwarded.
+  /// Tokens are forwarded as they arrive. If an attempt fails, the stream is
+  /// resumed after the last forwarded token.
   kTokenStream,
 };
 
 struct RequestTraits {
-  /// Whether the work may run more than once.
+  /// Whether the request may run more than once.
   bool idempotent = false;
   AnswerShape shape = AnswerShape::kWhole;
-  /// Plain services: each answer is the service's own, whatever its status.
+  /// Plain services: every response is forwarded, whatever its status.
   bool pass_any_status = false;
   TimePoint deadline;
-  /// A server's error goes to the caller as it is where no attempt is left.
+  /// If no attempt is left, a server's error response is forwarded unchanged.
   bool relays_last_error = false;
-  /// A stream is whole when its framing ends, without a closing event.
+  /// A stream is complete when its HTTP framing ends; no closing event is
+  /// expected.
   bool ends_with_framing = false;
 };
 
 struct RequestPolicy {
-  /// Targets that may run the request.
+  /// Limit of the targets that may have run the request.
   int max_attempts = 4;
-  /// Targets that it may be sent to, those that refused to run it included.
+  /// Limit of the targets that the request is sent to, including those that
+  /// refused to run it.
   int max_sends = 4;
 };
 
 struct RequestState {
   RequestTraits traits;
   int sends = 0;
-  /// Sends that may have run.
+  /// Sends after which the request may have run.
   int attempts = 0;
   bool attempt_open = false;
-  /// The attempt's answer is one to relay.
+  /// The attempt's response is to be forwarded.
   bool attempt_relays = false;
-  /// Token that the next unnumbered event of the attempt carries.
+  /// Token number of the attempt's next event, if the event has no id.
   uint64_t attempt_token = 0;
-  /// Token that the caller gets next.
+  /// Number of the next token to forward to the caller.
   uint64_t next_token = 0;
   bool answer_started = false;
-  /// What is known of the attempts that ended without an answer.
+  /// Outcome of the attempts that ended without a response.
   Outcome known = Outcome::kNotRun;
   bool ended = false;
 };
 
-/// Whether the request may be sent once more, if it is one that may run again.
+/// Whether the limits of attempts and sends allow another send. Does not check
+/// whether the request is idempotent.
 bool HasAttemptsLeft(const RequestState& state, const RequestPolicy& policy);
 
 // Events.
 
 /// The driver has sent the request to a target.
 struct TargetChosen {};
-/// There is no target, or no retry is allowed; `code` is the refusal.
+/// No target is available, or no retry is permitted; `code` is the error to
+/// return.
 struct NoTarget {
   ResultCode code;
 };
-/// Status and headers of the attempt's answer.
+/// The status and headers of the attempt's response.
 struct AttemptHead {
   int status = 0;
-  /// The answer names this request; another one must never reach the caller.
+  /// The response carries this request's id. Another request's response must
+  /// never reach the caller.
   bool request_id_matches = true;
-  /// The backend server says that it did not start the work.
+  /// The backend server states that it did not start the request.
   bool says_not_run = false;
 };
 struct AttemptToken {
   SseEvent event;
 };
-/// The attempt's answer ended as its framing says it should.
+/// The attempt's response ended as its HTTP framing requires.
 struct AttemptComplete {};
 struct AttemptFailed {
   bool bytes_may_have_left = true;
 };
-/// The group behind the attempt is not whole any more.
+/// The group that handles the attempt is no longer complete.
 struct TargetLost {};
 struct DeadlinePassed {};
 struct CallerDisconnected {};
@@ -105,30 +111,29 @@
 
 // Actions.
 
-/// Choose a group or backend server and send the request to it.
+/// Select a group or backend server and send the request to it.
 struct SeekTarget {
   bool is_retry = false;
   uint64_t resume_from = 0;
 };
-/// The attempt is over: close its connection. `failed` counts against the
-/// target.
+/// Close the attempt's connection. `failed` counts against the target.
 struct CloseAttempt {
   bool failed = false;
 };
 struct ForwardToken {
   SseEvent event;
 };
-/// Send the closing event and end the stream.
+/// Send the closing event and end the response.
 struct FinishStream {};
-/// Send the attempt's whole answer to the caller.
+/// Send the attempt's complete response to the caller.
 struct ForwardAnswer {};
-/// Answer with a refusal.
+/// Send an error response.
 struct Refuse {
   ResultCode code;
   Outcome outcome;
 };
-/// The stream has begun and cannot be finished: say so, and close the
-/// connection without the closing event or chunk.
+/// The stream has started and cannot be completed: send an error event and
+/// close the connection without the closing event or last chunk.
 struct AbortStream {
   ResultCode code;
 };
@@ -141,8 +146,8 @@
                                    Refuse,
                                    AbortStream>;
 
-/// Begins a request: either a search for a target or, where the deadline has
-/// passed already, a refusal.
+/// Starts a request. Returns SeekTarget, or Refuse if the deadline has already
+/// passed.
 std::vector<RequestAction> StartRequest(RequestState& state, TimePoint now);
 
 std::vector<RequestAction> StepRequest(RequestState& state,
--- a/include/filbertrack/request_retry_budget.h
+++ b/include/filbertrack/request_retry_budget.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A budget for retries: each first attempt earns a part of a retry. When many
-/// requests fail together, retries stay a small share of the load and cannot
-/// turn one failure into an overload.
+/// A token bucket for retries: each first attempt earns a fraction of a retry.
+/// When many requests fail together, retries remain a small share of the load
+/// and cannot turn a failure into an overload.
 
 #include "filbertrack/base_time.h"
 
@@ -11,7 +11,8 @@
 struct RetryBudgetPolicy {
   double earned_per_request = 0.2;
   double max_saved = 50;
-  /// Earned without load, so that a quiet host may retry at all.
+  /// Earned regardless of load, so that a host with little traffic may retry at
+  /// all.
   double earned_per_second = 1;
 };
 
@@ -22,16 +23,16 @@
 
   void OnRequest(TimePoint now);
 
-  /// What is saved stays, up to the new bound: a policy that is read again must
-  /// not hand out a second budget.
+  /// Replaces the policy. The saved retries are kept, up to the new limit, so
+  /// that a reload of the settings does not refill the budget.
   void SetPolicy(const RetryBudgetPolicy& policy, TimePoint now);
 
-  /// The most retries that are saved up from now on.
+  /// Sets the limit of saved retries; the excess is dropped.
   void SetMaxSaved(double max_saved);
 
   bool CanSpend(TimePoint now);
 
-  /// Spends one retry; false where none is left.
+  /// Spends one retry. Returns false if none is left.
   bool TrySpend(TimePoint now);
 
  private:
--- a/include/filbertrack/request_sse.h
+++ b/include/filbertrack/request_sse.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Splits a stream of server-sent events as it arrives in pieces.
+/// Incremental parser of server-sent events.
 
 #include <cstdint>
 #include <optional>
@@ -10,22 +10,23 @@
 
 namespace filbertrack {
 
-/// One event. Only what the relay needs is kept apart.
+/// One event. Only the fields that the relay needs are parsed.
 struct SseEvent {
   std::optional<uint64_t> id;
   std::string data;
   bool done = false;  ///< The closing "[DONE]".
-  /// The event as it came, with the blank line that ends it.
+  /// The event as received, including the blank line that ends it and any
+  /// skipped blocks before it.
   std::string raw;
 };
 
 class SseParser {
  public:
-  /// Takes the next bytes; returns the events that they complete. Bytes of an
-  /// event over `kMostEventBytes` make the stream invalid.
+  /// Consumes the next bytes and returns the events that they complete. An
+  /// unfinished event of more than `kMaxEventBytes` makes the stream invalid.
   std::vector<SseEvent> Push(std::string_view bytes);
 
-  /// Whether bytes of an unfinished event are held.
+  /// Whether part of an unfinished event is buffered.
   bool has_partial_event() const { return !m_buffer.empty(); }
 
   bool valid() const { return m_valid; }
@@ -39,7 +40,7 @@
   bool m_valid = true;
 };
 
-/// The text of an event as it goes to a caller.
+/// Serialises an event for the caller.
 std::string FormatSseEvent(const SseEvent& event);
 
 }  // namespace filbertrack
--- a/source/request_intake.cc
+++ b/source/request_intake.cc
@@ -12,7 +12,8 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 constexpr size_t kPrefixHashDigits = 16;
-/// Deeper bodies are refused: they cost stack and serve no caller.
+/// Limit of the nesting depth of a body; deeper bodies consume stack in the
+/// parser and no valid request needs them.
 constexpr int kMaxDepth = 32;
 
 tl::unexpected<Error> BadRequest(std::string message) {
@@ -23,7 +24,7 @@
                                        const Resources& resources) {
   if (!raw.authorization.starts_with(kBearer)) {
     return Fail(ResultCode::kUnauthorized,
-                "The header Authorization must hold a Bearer key.");
+                "The Authorization header must contain a Bearer key.");
   }
   const std::string hash = Sha256Hex(raw.authorization.substr(kBearer.size()));
   const Workspace* workspace = FindWorkspaceByKey(resources, hash);
@@ -44,9 +45,9 @@
   const auto [stop, error] =
       std::from_chars(raw.deadline_ms.data(), end, count);
   if (error != std::errc() || stop != end) {
-    return BadRequest("The header Filbert-Deadline-Ms has the value '" +
+    return BadRequest("Invalid value of the Filbert-Deadline-Ms header: '" +
                       std::string(raw.deadline_ms) +
-                      "'; allowed is a whole number of milliseconds.");
+                      "'; expected an integer number of milliseconds.");
   }
   if (count <= 0) {
     return Fail(ResultCode::kDeadlinePassed,
@@ -61,9 +62,9 @@
     return by_default;
   }
   if (raw.idempotent != "true" && raw.idempotent != "false") {
-    return BadRequest("The header Filbert-Idempotent has the value '" +
+    return BadRequest("Invalid value of the Filbert-Idempotent header: '" +
                       std::string(raw.idempotent) +
-                      "'; allowed are true and false.");
+                      "'; expected true or false.");
   }
   return raw.idempotent == "true";
 }
@@ -94,12 +95,12 @@
   return Sha256Hex(content.dump()).substr(0, kPrefixHashDigits);
 }
 
-/// Checks the fields that the path itself relies on; the rest is the engine's.
+/// Checks the fields that this host uses; the engine validates the rest.
 Result<bool> ReadModelBody(const RawRequest& raw,
                            const Resources& resources,
                            CallerRequest& request) {
   if (ExceedsMaxDepth(raw.body)) {
-    return BadRequest("The body nests deeper than " +
+    return BadRequest("The body exceeds the maximum nesting depth of " +
                       std::to_string(kMaxDepth) + " levels.");
   }
   request.body = Json::parse(raw.body, nullptr, false);
@@ -108,13 +109,14 @@
   }
   const auto model = request.body.find("model");
   if (model == request.body.end() || !model->is_string()) {
-    return BadRequest("The field 'model' must be a text.");
+    return BadRequest("The field 'model' must be a string.");
   }
   const auto messages = request.body.find("messages");
   if (messages == request.body.end() || !messages->is_array() ||
       messages->empty() || !(*messages)[0].is_object()) {
     return BadRequest(
-        "The field 'messages' must be a list of at least one object.");
+        "The field 'messages' must be a non-empty array that starts with an "
+        "object.");
   }
   const auto stream = request.body.find("stream");
   if (stream != request.body.end() && !stream->is_boolean()) {
@@ -133,8 +135,8 @@
   request.service_type = ServiceType::kModel;
   request.adapter = target.adapter;
   request.prefix = PrefixOf(*messages);
-  // Only this path says where an engine starts; a caller that could would get
-  // a text without its beginning.
+  // Only this host may set `resume_from`; a caller that set it would receive a
+  // response without its beginning.
   request.body.erase("resume_from");
   return true;
 }
@@ -182,7 +184,7 @@
   const bool is_chat = raw.is_post && raw.target == kChatPath;
   if (!is_chat && !raw.target.starts_with(kServicePathPrefix)) {
     return Fail(ResultCode::kNotFound,
-                "There is nothing at '" + std::string(raw.target) + "'.");
+                "No resource exists at '" + std::string(raw.target) + "'.");
   }
   const Result<bool> target = is_chat
                                   ? ReadModelBody(raw, resources, request)
@@ -196,12 +198,13 @@
   }
   request.idempotent = *idempotent;
   if (raw.idempotency_key.size() > policy.max_key_bytes) {
-    return BadRequest("The header Idempotency-Key is longer than " +
+    return BadRequest("The Idempotency-Key header exceeds the maximum of " +
                       std::to_string(policy.max_key_bytes) + " bytes.");
   }
   request.idempotency_key = raw.idempotency_key;
   if (!request.idempotency_key.empty()) {
-    // The key's owner expects one run, whatever the kind of request.
+    // A caller that sends an idempotency key expects a single run, whatever the
+    // type of request.
     request.idempotent = false;
   }
   return request;
--- a/source/request_machine.cc
+++ b/source/request_machine.cc
@@ -8,7 +8,7 @@
 
 constexpr int kFirstServerError = 500;
 
-/// Handles one event. Each overload is one row of the transition table.
+/// Handles one event; each overload is one row of the transition table.
 class Transition {
  public:
   Transition(RequestState& state, const RequestPolicy& policy, TimePoint now)
@@ -30,9 +30,9 @@
       return {};
     }
     if (!event.request_id_matches) {
-      // Another request's answer on this connection, as after a late answer on
-      // a reused one. The caller would read somebody else's text; the attempt
-      // ends as if its connection had broken.
+      // This is the response to another request, such as a late response on a
+      // reused connection. It must not reach the caller, so the attempt ends as
+      // if its connection had failed.
       return EndAttempt(true);
     }
     if (event.says_not_run) {
@@ -60,13 +60,12 @@
     const uint64_t token = event.event.id.value_or(m_state.attempt_token);
     m_state.attempt_token = token + 1;
     if (token < m_state.next_token) {
-      // The engine began before the place it was asked to resume from; the
-      // caller has this token.
+      // The engine started before the requested resume position; the caller
+      // already has this token.
       return {};
     }
     if (token > m_state.next_token) {
-      // A token is missing. Forwarding on would give the caller a text with a
-      // hole in it.
+      // A token is missing; forwarding this one would leave a gap in the text.
       return EndAttempt(true);
     }
     ++m_state.next_token;
@@ -88,7 +87,7 @@
     }
     if (m_state.traits.shape == AnswerShape::kTokenStream ||
         !m_state.attempt_relays) {
-      // A stream is whole only with its closing event.
+      // A stream is complete only with its closing event.
       return EndAttempt(true);
     }
     m_state.attempt_open = false;
@@ -132,7 +131,7 @@
     }
   }
 
-  /// Ends an attempt without an answer and decides whether there is another.
+  /// Ends an attempt that gave no response and decides whether to make another.
   Actions EndAttempt(bool may_have_run) {
     Actions actions;
     actions.emplace_back(CloseAttempt{true});
@@ -160,12 +159,12 @@
     return actions;
   }
 
-  /// The final answer, at once: holding it back would only keep the caller
-  /// from asking elsewhere.
+  /// Returns the final error immediately; delaying it would only keep the
+  /// caller from trying elsewhere.
   Actions EndRequest(ResultCode code) {
     Actions actions;
-    // An attempt that is stopped now may have run; only one that was never
-    // open, or was refused by the backend server, is known not to have.
+    // An attempt that is aborted now may have run. Only one that was never
+    // open, or that the backend server refused, is known not to have run.
     if (m_state.attempt_open) {
       m_state.known = Outcome::kUnknown;
     }
--- a/source/request_sse.cc
+++ b/source/request_sse.cc
@@ -36,7 +36,7 @@
   }
 }
 
-/// Start and length of the blank line that ends the first event.
+/// Position and length of the blank line that ends the first event.
 struct Boundary {
   size_t start;
   size_t length;
@@ -76,8 +76,9 @@
     SseEvent event = ParseEvent(buffered.substr(consumed, boundary->start));
     m_skipped += buffered.substr(consumed, boundary->start + boundary->length);
     consumed += boundary->start + boundary->length;
-    // Comments and keep-alives carry no data and are not answers. They stand
-    // before the next event where the text is passed on as it came.
+    // Comments and keep-alives carry no data and are not events. They are
+    // prepended to the next event's raw text, so that forwarding it preserves
+    // them.
     if (!event.data.empty()) {
       event.raw = std::move(m_skipped);
       m_skipped.clear();
--- a/tests/request_test.cc
+++ b/tests/request_test.cc
@@ -40,10 +40,10 @@
   return {id, "token " + std::to_string(id), false};
 }
 
-TEST_CASE("a non-idempotent request is not sent again once a byte left") {
-  // The caller sees 502 with outcome unknown. The connection breaks after the
-  // request was written; the backend server may have run it, so a second send
-  // could run it twice.
+TEST_CASE("a non-idempotent request is not retried once a byte was sent") {
+  // The caller must receive 502 with outcome unknown. The connection fails
+  // after the request was written; the backend server may have run it, so
+  // sending it again could run it twice.
   RequestState state = MakeRequest(false, AnswerShape::kWhole);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -54,9 +54,9 @@
   CHECK(FindAction<SeekTarget>(actions) == nullptr);
 }
 
-TEST_CASE("a non-idempotent request goes elsewhere if no byte left") {
-  // The caller sees a whole answer. The first backend server refuses the
-  // connection, so it cannot have run anything.
+TEST_CASE("a non-idempotent request is retried if no byte was sent") {
+  // The caller must receive a complete response. The first backend server
+  // refuses the connection, so it cannot have run the request.
   RequestState state = MakeRequest(false, AnswerShape::kWhole);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -65,9 +65,10 @@
   CHECK(state.known == Outcome::kNotRun);
 }
 
-TEST_CASE("an answer with another request's name never reaches the caller") {
-  // The caller sees its own answer, from a second attempt. A reused connection
-  // delivers a late answer first; its name gives it away.
+TEST_CASE("a response with another request's id is not forwarded") {
+  // Guards against a late response on a reused connection being forwarded to
+  // the wrong caller. It carries another request's id; the caller must receive
+  // its own response from a second attempt.
   RequestState state = MakeRequest(true, AnswerShape::kWhole);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -76,9 +77,10 @@
   CHECK(FindAction<ForwardAnswer>(Feed(state, AttemptComplete{})) == nullptr);
 }
 
-TEST_CASE("a stream that cannot go on is broken, not finished") {
-  // The caller sees an error event and a connection that closes without the
-  // closing event. The group dies after two tokens and no other one serves.
+TEST_CASE("a stream that cannot be resumed is aborted, not finished") {
+  // The caller must receive an error event and a connection that closes without
+  // the closing event. The group fails after two tokens and no other group is
+  // serving.
   RequestState state = MakeRequest(true, AnswerShape::kTokenStream);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -92,9 +94,10 @@
   CHECK(FindAction<FinishStream>(actions) == nullptr);
 }
 
-TEST_CASE("a stream that ends without its closing event is not whole") {
-  // The caller gets the rest from another group. The engine closes its answer
-  // in good order in the middle, as one that is stopped does.
+TEST_CASE("a stream without its closing event is incomplete") {
+  // Guards against a truncated stream reported as complete. An engine that is
+  // stopped closes its response cleanly in the middle; the rest must come from
+  // another group.
   RequestState state = MakeRequest(true, AnswerShape::kTokenStream);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -106,8 +109,9 @@
   CHECK(seek->resume_from == 1);
 }
 
-TEST_CASE("refusals: the deadline passes while an attempt is open") {
-  // The caller sees 504 with outcome unknown: the engine may be running it.
+TEST_CASE("the deadline passes while an attempt is open") {
+  // The caller must receive 504 with outcome unknown, since the engine may
+  // still be running the request.
   RequestState state = MakeRequest(true, AnswerShape::kWhole);
   StartRequest(state, kStart);
   Feed(state, TargetChosen{});
@@ -117,7 +121,7 @@
   CHECK(FindAction<CloseAttempt>(actions) != nullptr);
 }
 
-/// Any event, with token numbers near the ones in play.
+/// Generates any event, with token numbers close to the expected ones.
 RequestEvent ArbitraryEvent() {
   switch (*rc::gen::inRange(0, 9)) {
     case 0:
@@ -146,7 +150,8 @@
   }
 }
 
-TEST_CASE("property: tokens reach the caller once each, in order, one end") {
+TEST_CASE(
+    "property: each token is forwarded once, in order, with one final action") {
   REQUIRE(rc::check("stream resume", [] {
     RequestState state =
         MakeRequest(*rc::gen::arbitrary<bool>(), AnswerShape::kTokenStream);
@@ -157,7 +162,7 @@
     const int steps = *rc::gen::inRange(1, 60);
     for (int i = 0; i < steps; ++i) {
       const RequestEvent event = ArbitraryEvent();
-      // The driver chooses a target only when it was asked to.
+      // The driver selects a target only after SeekTarget.
       if (std::holds_alternative<TargetChosen>(event) && open) {
         continue;
       }
@@ -177,7 +182,7 @@
   }));
 }
 
-TEST_CASE("property: not-run is said only if no attempt may have run") {
+TEST_CASE("property: not-run is reported only if no attempt may have run") {
   REQUIRE(rc::check("outcome", [] {
     const bool idempotent = *rc::gen::arbitrary<bool>();
     RequestState state = MakeRequest(idempotent, AnswerShape::kWhole);
@@ -208,7 +213,8 @@
   }));
 }
 
-TEST_CASE("property: the splitter gives the same events however bytes come") {
+TEST_CASE(
+    "property: the parsed events do not depend on how the bytes are split") {
   REQUIRE(rc::check("sse", [] {
     const auto texts = *rc::gen::container<std::vector<std::string>>(
         rc::gen::nonEmpty(rc::gen::container<std::string>(
@@ -237,7 +243,7 @@
   }));
 }
 
-TEST_CASE("property: no bytes crash the reading of a caller's request") {
+TEST_CASE("property: malformed caller requests are parsed safely") {
   Resources resources;
   resources.workspaces["w"] = {"w", Sha256Hex("k"), 1, {}};
   resources.services["m"] = Service{"m", ServiceType::kModel, 0.5, {}, 1};
@@ -257,9 +263,9 @@
   }));
 }
 
-TEST_CASE("a body that nests without end is refused, not parsed") {
-  // The caller sees 400. A parser that recursed on it would end the process and
-  // every other request on it.
+TEST_CASE("a too deeply nested body is rejected without parsing it") {
+  // The caller must receive 400. A recursive parser would overflow its stack
+  // and end the process with every other request on it.
   Resources resources;
   resources.workspaces["w"] = {"w", Sha256Hex("k"), 1, {}};
   RawRequest raw;
@@ -274,9 +280,9 @@
   CHECK(request.error().code == ResultCode::kBadRequest);
 }
 
-TEST_CASE("a retry policy that is read again hands out no second budget") {
-  // Settings are read again at each signal. Were the budget full anew each
-  // time, a few signals in a row would allow several times the retries.
+TEST_CASE("reloading the retry policy does not refill the budget") {
+  // Settings are reloaded on every signal. If each reload refilled the budget,
+  // a few signals in a row would allow several times the retries.
   RetryBudget budget({0, 3, 0}, kStart);
   for (int i = 0; i < 3; ++i) {
     REQUIRE(budget.TrySpend(kStart));
@@ -287,9 +293,9 @@
   CHECK(budget.TrySpend(kStart + Seconds(2)));
 }
 
-TEST_CASE("retries are a bounded part of the load") {
-  // Callers see errors instead of a storm: while everything fails, a hundred
-  // requests in one moment may cause 50 + 20 retries, not 300.
+TEST_CASE("retries are a bounded share of the load") {
+  // Guards against a retry storm: while every request fails, a hundred requests
+  // at once may cause 50 + 20 retries, not 300.
   RetryBudget budget(RetryBudgetPolicy(), kStart);
   int spent = 0;
   for (int i = 0; i < 100; ++i) {
@@ -303,7 +309,8 @@
   CHECK(budget.TrySpend(kStart + Seconds(2)));
 }
 
-/// Answers of 10 KB each, unread for as long as the second figure says.
+/// Makes `count` responses of 10 KB each, of which nothing was read for
+/// `unread`.
 std::vector<HeldAnswer> MakeHeld(size_t count, Duration unread) {
   std::vector<HeldAnswer> answers;
   for (size_t i = 0; i < count; ++i) {
@@ -312,9 +319,10 @@
   return answers;
 }
 
-TEST_CASE("what slow callers hold is bounded, and who reads is never dropped") {
-  // Guards against 2,000 callers that read a byte a second and end the process
-  // of a small host.
+TEST_CASE(
+    "buffered responses are bounded, and active readers are not dropped") {
+  // Guards against running out of memory: 2,000 callers that read one byte per
+  // second would otherwise end the process of a small host.
   HeldAnswersPolicy policy;
   policy.max_bytes = 5'000'000;
   const auto few = EvaluateHeldAnswers(MakeHeld(100, Seconds(9)), 0, policy);
@@ -330,7 +338,7 @@
   const auto read = EvaluateHeldAnswers(MakeHeld(2000, Duration(0)), 0, policy);
   CHECK(read.drops.empty());
   CHECK(read.is_full);
-  // Bodies of requests count as well, and nothing can be dropped for them.
+  // Request bodies count as well, but nothing can be dropped to free them.
   CHECK(EvaluateHeldAnswers({}, 6'000'000, policy).is_full);
 }
 
