--- a/include/filbertrack/change_log.h
+++ b/include/filbertrack/change_log.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Versions and texts of the store's registrations as one entry host knows
-/// them, so that it can tell another one exactly what that one has missed.
+/// A log of store registrations by version. An entry host uses it to send a
+/// peer exactly the changes that the peer has missed.
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace filbertrack {
 
-/// One object at one version of the store. An empty text: it was removed.
+/// One object at one version of the store. An empty text marks a removal.
 struct LoggedObject {
   std::string id;
   uint64_t version = 0;
@@ -23,21 +23,22 @@
 
 class ChangeLog {
  public:
-  /// Removed objects are remembered up to this many.
+  /// Keeps at most `max_removed` removal records; older ones are compacted.
   explicit ChangeLog(size_t max_removed) : m_max_removed(max_removed) {}
 
-  /// Keeps `object` if it is newer than what is known; true if it was.
+  /// Stores `object` if its version is newer than the known one. Returns
+  /// whether it was stored.
   bool Put(const LoggedObject& object);
 
-  /// Everything up to `revision` of the store is known.
+  /// Records that all changes up to store revision `revision` are in the log.
   void AdvanceTo(uint64_t revision);
   uint64_t revision() const { return m_revision; }
 
-  /// What changed after `revision`, in the order of versions. Nullopt: the log
-  /// does not reach back so far, and All() is needed.
+  /// Changes after `revision`, in version order. Returns nullopt if removals
+  /// after `revision` have been compacted; the caller must then use All().
   std::optional<std::vector<LoggedObject>> Since(uint64_t revision) const;
 
-  /// Objects that exist.
+  /// All objects that have not been removed.
   std::vector<LoggedObject> All() const;
 
  private:
@@ -45,7 +46,7 @@
 
   size_t m_max_removed;
   uint64_t m_revision = 0;
-  /// Removals up to this version were forgotten.
+  /// Highest version whose removal record has been compacted.
   uint64_t m_compacted_revision = 0;
   std::map<std::string, LoggedObject, std::less<>> m_objects;
   std::multimap<uint64_t, std::string> m_by_version;
--- a/include/filbertrack/server_directory.h
+++ b/include/filbertrack/server_directory.h
@@ -1,9 +1,8 @@
 #pragma once
 
-/// The backend servers as they have registered themselves, and the groups that
-/// their registrations add up to. No other record of groups is kept: what the
-/// members report is what holds, so a controller that starts with nothing finds
-/// the groups that serve.
+/// The registered backend servers, and the groups that their registrations
+/// form. There is no separate record of groups: the members' registrations are
+/// authoritative, so a restarted controller finds the groups that are serving.
 
 #include <cstdint>
 #include <map>
@@ -21,16 +20,16 @@
 enum class MembershipState {
   kJoining,
   kReady,
-  /// Of a head: takes requests.
+  /// Head only: accepts requests.
   kOpen,
-  /// Of a head: takes no more requests, ends what it has.
+  /// Head only: accepts no new requests and completes those it has.
   kClosing,
-  /// Of a head: a member was lost; it refuses all requests.
+  /// Head only: a member was lost, and all requests are refused.
   kBroken,
 };
 
-/// A host's place in a group. The name and the epoch together identify a set of
-/// members; rank 0 is the head, which takes the group's requests.
+/// A host's membership of a group. The group name and epoch together identify
+/// one set of members. Rank 0 is the head, which receives the group's requests.
 struct Membership {
   std::string group;
   uint64_t epoch = 0;
@@ -40,13 +39,14 @@
   bool operator==(const Membership&) const = default;
 };
 
-/// Ends the names of groups of one host that stands by with a model in memory.
-/// They are never opened.
+/// Suffix of the names of standby groups: single hosts that keep a model in
+/// memory. Such groups are never opened.
 inline constexpr std::string_view kStandbySuffix = ".standby";
 bool IsStandbyGroup(std::string_view group);
 
-/// Whether a process that started at `born_ms` is a later life of the server
-/// whose process started at `known_born_ms`; 0 stands for a time not told.
+/// Whether a process started at `process_start_ms` is a newer instance of the
+/// server than the one started at `known_process_start_ms`. Both are Unix times
+/// in ms; 0 means unknown.
 inline bool IsNewerInstance(uint64_t process_start_ms,
                             uint64_t known_process_start_ms) {
   return known_process_start_ms != 0 &&
@@ -55,8 +55,8 @@
 
 struct BackendServer {
   std::string id;
-  /// Start of the process, Unix ms; 0: not told. A process that starts again
-  /// may keep its id; it then holds nothing of what it held before.
+  /// Start of the process, Unix time in ms; 0 if unknown. A restarted process
+  /// may keep its id; it has none of the state of the previous process.
   uint64_t process_start_ms = 0;
   std::string service;
   Address address;
@@ -65,28 +65,29 @@
   int slots = 1;
   /// Fabric domain; empty for plain services.
   std::string domain;
-  /// Models whose weights are on the host.
+  /// Models whose weights are stored on the host.
   std::vector<std::string> staged;
-  /// Model in memory; empty: none.
+  /// Model loaded in memory; empty if none.
   std::string model;
   std::optional<Membership> membership;
-  /// It is cold for so long after it said so; nullopt: it does not say.
+  /// Time for which the server reports itself as cold, counted from the report;
+  /// nullopt if it does not report this.
   std::optional<Duration> cold_left;
 
   bool operator==(const BackendServer&) const = default;
 };
 
-/// One replica as its members' registrations show it.
+/// One replica, assembled from its members' registrations.
 struct ReplicaView {
   std::string group;
   uint64_t epoch = 0;
   std::string service;
   std::string domain;
-  /// By rank; null where nobody reports that rank.
+  /// Members by rank; null if no server reports that rank.
   std::vector<const BackendServer*> members;
-  /// A member was ready here and then left or started again. The head, if it
-  /// was open, stands still without saying so, also where the member is back
-  /// under the same name and epoch.
+  /// A ready member has left or restarted. A head that was open then stalls
+  /// without reporting it, even if the member has rejoined under the same name
+  /// and epoch.
   bool interrupted = false;
 
   const BackendServer* head() const {
@@ -94,20 +95,20 @@
   }
 };
 
-/// A host's latest group, which it left while the head had not left it.
+/// The last group of a host that left it while the head was still in it.
 struct Departure {
-  /// Empty: the host had no group when this process first looked.
+  /// Empty if the host had no group when this process first listed the store.
   std::string group;
   uint64_t epoch = 0;
   TimePoint left_at;
-  /// The same, or later when the head's registration was removed.
+  /// `left_at`, or the later time at which the head's registration was removed.
   TimePoint held_from;
 };
 
 struct DirectoryPolicy {
-  /// Registrations lapse while the store is away, also those of servers that
-  /// live. They are back about two seconds after the store is; what is missing
-  /// then is gone.
+  /// Registrations expire during a store outage, including those of live
+  /// servers. Live servers register again within about two seconds of the
+  /// store's return; servers still missing after this time are removed.
   Duration expiry_grace = Milliseconds(2500);
 };
 
@@ -115,85 +116,91 @@
  public:
   explicit ServerDirectory(DirectoryPolicy policy) : m_policy(policy) {}
 
-  /// A registration; true if it says something new. One of an earlier life of
-  /// the server is passed over; one of a later life ends all that was known of
-  /// the earlier one.
+  /// Applies a registration. Returns whether it changed anything. A
+  /// registration of an older instance is ignored; one of a newer instance
+  /// discards the state of the older one.
   bool Put(BackendServer server, TimePoint now);
 
-  /// The registration cannot be read: the server is out at once, whatever the
-  /// store went through. True if it was known.
+  /// Removes a server whose registration is unreadable at once, even shortly
+  /// after a store outage. Returns whether the server was known.
   bool Discard(std::string_view id, TimePoint now);
 
-  /// A registration was removed. Soon after the store's return it is only
-  /// marked; Expire() takes it out later. True if it was taken out.
+  /// Handles a removed registration. Shortly after the store's return the
+  /// server is only marked, and Expire() removes it later. Returns whether it
+  /// was removed now.
   bool Remove(std::string_view id, TimePoint now);
 
-  /// The registrations were read whole. Only the first call counts: hosts
-  /// without a group may have left one before this process could see it.
+  /// Handles the first complete listing of registrations; later calls have no
+  /// effect. Hosts without a group may have left one before this process
+  /// started.
   void OnInitialListing(TimePoint now);
 
-  /// The store was away until now.
+  /// The store has just returned from an outage.
   void OnStoreReturned(TimePoint now) { m_store_returned = now; }
 
-  /// Takes out registrations that did not come back. True if there were any.
+  /// Removes registrations that were not renewed after an outage. Returns
+  /// whether there were any.
   bool Expire(TimePoint now);
 
-  /// When Expire() has something to do next.
+  /// When Expire() next has a server to remove; nullopt if none is marked.
   std::optional<TimePoint> NextExpiry() const;
 
-  /// Whether `id` left a group whose head may still hold requests. The head
-  /// holds them, without saying so, for `stall` after it lost a member; while
-  /// it is registered in the group and was not seen to leave, it may open anew.
-  /// Hosts without a group at the first reading count as having left then, if
-  /// there are groups: nobody knows what was before.
+  /// Whether `id` left a group whose head may still have requests that use it.
+  /// After losing a member, the head keeps its requests without reporting so
+  /// for `stall`. While the head is registered in the group and was not seen to
+  /// leave it, it may open the group again. If groups exist at the first
+  /// listing, hosts without a group count as having left one at that time,
+  /// because their history is unknown.
   bool IsHeld(std::string_view id, Duration stall, TimePoint now) const;
 
-  /// Why a host is held; null where it is not, or was not since its group's
-  /// head left the group.
+  /// The departure because of which a host is held. Null if there is none, or
+  /// if the group's head has left the group since.
   const Departure* FindDeparture(std::string_view id) const;
 
-  /// The head answered an order to leave the group. Its own registration may
-  /// show that late, or not at all while it does not reach the store.
+  /// The head confirmed an order to leave the group. Its registration may show
+  /// this late, or not at all while the head cannot reach the store.
   void OnHeadLeft(const std::string& group, uint64_t epoch);
 
-  /// Whether the head of this group was seen to leave it: no order can make it
-  /// take requests for the group any more.
+  /// Whether the head was seen to leave this group. No order can then make it
+  /// accept requests for the group again.
   bool HeadLeft(std::string_view group, uint64_t epoch) const;
 
-  /// Since when the head of this group has been registered as open without a
-  /// break; also after its registration was removed. nullopt: it was not.
+  /// Since when the head of this group has been continuously registered as
+  /// open; kept after its registration is removed. nullopt if it is not open.
   std::optional<TimePoint> OpenSince(std::string_view group,
                                      uint64_t epoch) const;
 
-  /// When a server was seen for the first time, of all the latest such time.
+  /// Latest time at which a server that was not registered before, or that had
+  /// restarted, registered.
   std::optional<TimePoint> last_arrival() const { return m_last_arrival; }
 
   const BackendServer* Find(std::string_view id) const;
 
-  /// The server may be cold until then, whatever it says itself meanwhile.
+  /// Treats the server as cold until `until`, whatever it reports.
   void AssumeCold(const std::string& id, TimePoint until);
 
-  /// Until when the server is cold, by its own word or by assumption; nullopt:
-  /// it is not.
+  /// Until when the server is cold, by its own report or by AssumeCold(),
+  /// whichever is later; nullopt if it is not cold.
   std::optional<TimePoint> ColdUntil(std::string_view id, TimePoint now) const;
 
-  /// The head of a group as it was registered last, also after its registration
-  /// was removed. Null: it was never seen.
+  /// The last registration of a group's head, also after its removal. Null if
+  /// it was never seen.
   const BackendServer* FindLastHead(std::string_view group,
                                     uint64_t epoch) const;
 
-  /// As Find(), but also a server whose registration was removed.
+  /// Like Find(), but includes servers whose registration was removed.
   const BackendServer* FindLast(std::string_view id) const;
   const std::map<std::string, BackendServer, std::less<>>& servers() const {
     return m_servers;
   }
 
-  /// Groups of `service`, by what their members report. A group of which no
-  /// member is left is not among them.
+  /// Groups of `service` according to their members' registrations. Groups
+  /// without members are not included.
   std::vector<ReplicaView> Replicas(std::string_view service) const;
 
  private:
-  /// The server started again: it left its group as a host that died does.
+  /// Handles a restart of the server: its previous process left its group as if
+  /// the host had failed.
   void ResetInstance(BackendServer& known);
   void NoteInterruption(const BackendServer& before,
                         const BackendServer& after);
@@ -216,16 +223,17 @@
   void NoteHeadRemoved(const BackendServer& head, TimePoint now);
 
   std::map<std::string, Departure, std::less<>> m_departures;
-  /// Servers as they were when they were taken out; one that comes back may
-  /// have left its group meanwhile.
+  /// Last registration of removed servers; a server that returns may have left
+  /// its group in the meantime.
   std::map<std::string, BackendServer, std::less<>> m_removed;
-  /// Groups whose head left, with their latest epoch; the name tells the group.
+  /// Latest epoch of the groups whose head left, by group name.
   std::map<std::string, uint64_t, std::less<>> m_headless_groups;
-  /// Groups that lost a member which was ready, with their latest epoch.
+  /// Latest epoch of the groups that lost a ready member, by group name.
   std::map<std::string, uint64_t, std::less<>> m_interrupted;
-  /// By id of the head.
+  /// Time of opening, by the head's id.
   std::map<std::string, TimePoint, std::less<>> m_open_since;
-  /// Servers that are cold by their own word, and by assumption.
+  /// End of the cold period by server id, as reported by the server and as set
+  /// by AssumeCold().
   std::map<std::string, TimePoint, std::less<>> m_cold;
   std::map<std::string, TimePoint, std::less<>> m_assumed_cold;
   bool m_listed = false;
@@ -234,12 +242,13 @@
   std::optional<TimePoint> m_store_returned;
 };
 
-/// Whether all `size` members have been in the group since they were ready,
-/// leaving or not: what runs there can end.
+/// Whether all `size` members are present and none has left or restarted since
+/// it was ready. Requests that run there can complete, even if members are
+/// draining.
 bool IsIntact(const ReplicaView& replica, int size);
 
-/// Whether the replica has all `size` members of its model, each of them in the
-/// group and ready, and its head takes requests.
+/// Whether the replica is intact, no member is draining, all members are ready
+/// and the head accepts requests.
 bool IsServing(const ReplicaView& replica, int size);
 
 }  // namespace filbertrack
--- a/include/filbertrack/server_instance.h
+++ b/include/filbertrack/server_instance.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Names one process of a backend server.
+/// Identifies one process of a backend server.
 
 #include <cstdint>
 #include <string>
@@ -8,10 +8,9 @@
 
 namespace filbertrack {
 
-/// One process of a backend server.
 struct ServerInstance {
   std::string id;
-  /// Start of the process, Unix ms; 0: not told.
+  /// Start of the process, Unix time in ms; 0 if unknown.
   uint64_t process_start_ms = 0;
 
   bool operator<(const ServerInstance& other) const {
--- a/include/filbertrack/site_catalog.h
+++ b/include/filbertrack/site_catalog.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The configuration in force on an entry host: which requests there are, who
-/// may send them, and what answers them. It is read whole and never changed.
+/// The active configuration of an entry host: the routes, who may use them and
+/// which services answer them. It is loaded as a whole and immutable.
 
 #include <cstdint>
 #include <map>
@@ -16,16 +16,16 @@
 
 namespace filbertrack {
 
-/// What may be done again after a request was sent.
+/// Whether a request may be sent again after it was sent to a backend server.
 enum class RepeatRule {
-  /// Running twice does no harm.
+  /// May run more than once.
   kIdempotent,
   /// Runs at most once.
   kOnce,
-  /// A stream of events that another backend server can take up after a given
+  /// An event stream that another backend server can resume after a given
   /// event.
   kResumable,
-  /// A stream of events that runs at most once.
+  /// An event stream that runs at most once.
   kOnceStream,
 };
 
@@ -44,40 +44,40 @@
   std::string path_prefix;
   RepeatRule repeat = RepeatRule::kOnce;
   std::vector<TrafficShare> shares;
-  /// The longest that a caller is kept waiting.
+  /// Maximum time that a caller waits for the response.
   Duration timeout{0};
-  /// An answer, or its first event, within this time is on time.
+  /// A response, or its first event, meets the target within this time.
   Duration target_latency{0};
-  /// The longest pause between events of an answer that is on time.
+  /// Maximum gap between events of a stream that meets the target.
   Duration longest_pause{0};
-  /// 0 is the most urgent.
+  /// 0 is the highest priority.
   int priority = 0;
-  /// Backend servers that one request may be sent to.
+  /// Limit of the backend servers that one request is sent to.
   int max_attempts = 1;
-  /// Needs no key.
+  /// Requests need no key.
   bool is_public = false;
-  /// Its requests reach only backend servers of these regions; empty: any.
+  /// Regions whose backend servers may receive the requests; empty if any may.
   std::vector<std::string> regions;
 };
 
-/// A model that groups of hosts serve.
+/// A model that is served by groups of hosts.
 struct ModelProfile {
   std::string name;
-  /// Hosts of a group.
+  /// Number of hosts in a group.
   int members = 1;
-  /// Part of the hosts' work that is this model's.
+  /// Fraction of the hosts' work that this model accounts for.
   double share = 1;
-  /// Factor on all times of a group.
+  /// Factor applied to all processing times of a group.
   double pace = 1;
-  /// From the weight store onto a host.
+  /// Time to load the weights from the weight store to a host.
   Duration load{0};
-  /// From a host's own copy into memory.
+  /// Time to load a host's local copy into memory.
   Duration warm_up{0};
 };
 
-/// How an engine spends its time. A pass reads at most `chunk_tokens` of
-/// prompts and then makes `stride` steps, each of one token for every request
-/// that writes.
+/// Timing model of an engine. A pass reads at most `chunk_tokens` prompt tokens
+/// and then makes `stride` decode steps; each step yields one token for every
+/// request that is generating.
 struct EngineProfile {
   int slots = 1;
   double memory_tokens = 0;
@@ -90,33 +90,35 @@
   int stride = 1;
   double loads_per_second = 1;
   int loads_at_once = 1;
-  /// From the order to open a group until it serves.
+  /// Time from the order to open a group until it serves.
   Duration open_delay{0};
   double usual_prompt_tokens = 0;
   double usual_answer_tokens = 0;
   std::vector<ModelProfile> models;
 
-  /// Null where the model is not served.
+  /// Null if the model is not served.
   const ModelProfile* FindModel(std::string_view name) const;
 };
 
 struct ServiceProfile {
   std::string name;
-  /// Connections that one backend server accepts from all entry hosts.
+  /// Limit of the connections to one backend server from all entry hosts
+  /// together.
   int max_connections = 0;
-  /// Only of services whose backend servers form groups.
+  /// Set only for services whose backend servers form groups.
   std::optional<EngineProfile> engine;
-  /// A server that started during traffic is cold for so long; 0: never.
+  /// How long a server is cold if it started while there was traffic; 0 if
+  /// never.
   Duration cold_after_start{0};
-  /// Requests a second that a cold server bears; 0: it is not limited.
+  /// Requests per second that a cold server can handle; 0 means no limit.
   double cold_requests_per_second = 0;
 };
 
 struct Workspace {
   std::string name;
-  /// Goes before a route's.
+  /// Overrides the route's priority.
   std::optional<int> priority;
-  /// As of a route; where both name some, both bind.
+  /// As in Route. If both are set, a server must satisfy both.
   std::vector<std::string> regions{};
 };
 
@@ -132,10 +134,10 @@
   std::vector<Route> routes;
   std::map<std::string, ServiceProfile, std::less<>> services;
   CallerLimits limits;
-  /// False: requests need no key.
+  /// If false, requests need no key.
   bool has_workspaces = false;
   std::vector<Workspace> workspaces;
-  /// Index into `workspaces` by key.
+  /// Index into `workspaces`, by key.
   std::unordered_map<std::string, size_t> keys;
 };
 
@@ -153,25 +155,26 @@
 
   const ServiceProfile* FindService(std::string_view name) const;
 
-  /// The route of `hostname` with the longest prefix of `path`; the cost grows
-  /// with the depth of the path, not with the number of routes. Null: none.
+  /// Returns the route of `hostname` with the longest matching prefix of
+  /// `path`, or null. The cost depends on the depth of the path, not on the
+  /// number of routes.
   const Route* FindRoute(std::string_view hostname,
                          std::string_view path) const;
 
-  /// Null where nobody holds the key.
+  /// Null if no workspace has this key.
   const Workspace* FindWorkspace(std::string_view key) const;
 
  private:
   CatalogParts m_parts;
-  /// Routes by host name and prefix, with a space between them.
+  /// Route index by host name and prefix, separated by a space.
   std::unordered_map<std::string, size_t> m_route_by_prefix;
 };
 
-/// The service that takes a request: `draw` in [0, 1) chooses by weight.
+/// Selects a service by weight; `draw` is a random number in [0, 1).
 const std::string& ChooseService(const Route& route, double draw);
 
-/// Whether `next` may replace what is in force: versions only grow, so that a
-/// stale read of the store takes nothing back.
+/// Whether `next` may replace the active catalog. Only a higher version may, so
+/// that a stale read of the store reverts nothing.
 bool SupersedesCatalog(const Catalog* current, const Catalog& next);
 
 }  // namespace filbertrack
--- a/include/filbertrack/site_evacuations.h
+++ b/include/filbertrack/site_evacuations.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Which data centres the operator has evacuated: nothing more is to be sent to
-/// their backend servers. Knowledge comes from the store and from other entry
-/// hosts; what was true at the later revision of the store counts.
+/// The data centres that the operator has evacuated, i.e. to whose backend
+/// servers nothing more is to be sent. The state is learned from the store and
+/// from other entry hosts; the one with the higher store revision wins.
 
 #include <cstdint>
 #include <set>
@@ -11,9 +11,9 @@
 
 namespace filbertrack {
 
-/// What one entry host tells another.
+/// The evacuation state as sent to another entry host.
 struct EvacuationUpdate {
-  /// Revision of the store at which it was so; 0: nothing to tell.
+  /// Store revision of this state; 0 if there is nothing to send.
   uint64_t revision = 0;
   std::set<std::string, std::less<>> data_centres;
 
@@ -24,10 +24,12 @@
  public:
   using DataCentres = std::set<std::string, std::less<>>;
 
-  /// All that the store had at `revision`. True if it differs from what held.
+  /// Applies a complete listing of the store at `revision`. Returns whether the
+  /// state changed.
   bool OnList(DataCentres data_centres, uint64_t revision);
 
-  /// What another host told. True if it differs from what held.
+  /// Applies an update from another entry host. Returns whether the state
+  /// changed.
   bool OnPeerUpdate(const EvacuationUpdate& update);
 
   bool Contains(std::string_view data_centre) const {
@@ -35,7 +37,7 @@
   }
   const DataCentres& data_centres() const { return m_data_centres; }
 
-  /// For other hosts: empty until something was evacuated.
+  /// The update for other hosts; revision 0 until something was evacuated.
   EvacuationUpdate News() const {
     return {m_published_revision, UpdatedDataCentres()};
   }
@@ -47,9 +49,9 @@
   }
 
   DataCentres m_data_centres;
-  /// The latest revision at which they are known to have been so.
+  /// Latest store revision at which this state is known to be valid.
   uint64_t m_known_revision = 0;
-  /// The revision that other hosts are told; 0: none.
+  /// Revision that is sent to other hosts; 0 if nothing is sent.
   uint64_t m_published_revision = 0;
 };
 
--- a/include/filbertrack/site_regions.h
+++ b/include/filbertrack/site_regions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Which region each data centre stands in.
+/// The region of each data centre.
 
 #include <map>
 #include <string>
@@ -13,11 +13,11 @@
 /// Region by data centre.
 using RegionMap = std::map<std::string, std::string, std::less<>>;
 
-/// Reads `DATA-CENTRE:REGION` pairs, separated by commas; an empty text is an
-/// empty map.
+/// Parses comma-separated `DATA-CENTRE:REGION` pairs. An empty text yields an
+/// empty map; a malformed pair is an error of kSettingsInvalid.
 Result<RegionMap> ParseRegions(std::string_view text);
 
-/// Empty where the data centre's region is not known.
+/// Returns an empty string if the region of the data centre is unknown.
 std::string RegionOf(const RegionMap& regions, std::string_view data_centre);
 
 }  // namespace filbertrack
--- a/include/filbertrack/store_absence.h
+++ b/include/filbertrack/store_absence.h
@@ -1,11 +1,13 @@
 #pragma once
 
-/// Tells an outage of the store from a host that alone did not reach it.
+/// Distinguishes an outage of the store from a host that alone lost its
+/// connection to it.
 ///
-/// Registrations lapse while the store is away, also those of servers that
-/// live, so after an outage a registration that is missing is kept for a while.
-/// A host that was cut off alone must not do so, nor tell its peers: a server
-/// that leaves without a word just then would be sent requests after it ended.
+/// Registrations expire during an outage, including those of live servers, so
+/// after an outage a missing registration is kept for a while. A host that
+/// alone lost its connection must neither do so nor report an outage to its
+/// peers: it would keep a server that ended without notice in that time, and
+/// requests would be sent to it.
 
 #include <optional>
 
@@ -14,8 +16,8 @@
 namespace filbertrack {
 
 struct StoreOutagePolicy {
-  /// What the store told a peer just before an outage arrives within this time:
-  /// some rounds of questions between peers.
+  /// Maximum delay, a few gossip rounds, until a change that a peer read from
+  /// the store just before an outage arrives here.
   Duration propagation_time = Milliseconds(1000);
 };
 
@@ -24,15 +26,16 @@
   explicit StoreOutageDetector(StoreOutagePolicy policy = {})
       : m_policy(policy) {}
 
-  /// This host reaches the store no longer.
+  /// This host lost its connection to the store.
   void OnLost(TimePoint now);
 
-  /// Peers told of changes in the store that were not known here.
+  /// Peers reported store changes that were not known here.
   void OnPeersAhead(TimePoint now);
 
-  /// This host reaches the store again. Whether it was away for all, as far as
-  /// peers have shown. The first host that returns after an outage has heard of
-  /// nothing newer than what was under way when it began.
+  /// This host is connected to the store again. Returns whether the store was
+  /// unavailable to all hosts, as far as peers have shown. The first host to
+  /// reconnect after an outage has only received changes that were in transit
+  /// when the outage began. False if no loss was reported before.
   bool OnReturned(TimePoint now);
 
   bool is_unreachable() const { return m_lost.has_value(); }
@@ -40,7 +43,8 @@
  private:
   StoreOutagePolicy m_policy;
   std::optional<TimePoint> m_lost;
-  /// Latest change that a peer told of since.
+  /// Time of the latest report of newer changes by a peer since the connection
+  /// was lost.
   std::optional<TimePoint> m_peers_ahead_at;
 };
 
--- a/source/server_directory.cc
+++ b/source/server_directory.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Groups whose head left are forgotten, once no member is left in them, from
-/// this number on.
+/// Number of recorded groups from which those without members are forgotten.
 constexpr size_t kMaxGroupsWithoutHead = 256;
-/// Removed servers that are remembered: more than lapse at once.
+/// Limit of the remembered removed servers; larger than the number that can
+/// expire at once.
 constexpr size_t kMaxRemoved = 1024;
 
 bool IsHeadOf(const BackendServer& server,
@@ -43,7 +43,7 @@
   }
   NoteCold(server, now);
   if (known == server) {
-    // One that was taken out and is back as it was is news, too.
+    // A removed server that returns unchanged is a change, too.
     return arrived;
   }
   if (IsNewerInstance(server.process_start_ms, known.process_start_ms)) {
@@ -191,8 +191,8 @@
                                     const BackendServer& after,
                                     TimePoint now) {
   NoteHeadDeparture(before, after);
-  // A host that stands by is as free as one without a group: an order to stand
-  // by that arrives late must not end the time for which it is held.
+  // A standby host counts as a host without a group: a late order to stand by
+  // must not end the time for which it is held.
   if (after.membership && !IsStandbyGroup(after.membership->group)) {
     m_departures.erase(after.id);
     return;
@@ -202,7 +202,7 @@
   }
   const Membership& membership = *before.membership;
   const BackendServer* head = FindHead(membership.group, membership.epoch);
-  // A group that was still joining cannot have been opened.
+  // A group whose head is still joining was never opened.
   const bool never_open =
       head != nullptr && head->membership->state == MembershipState::kJoining;
   if (!never_open && !HeadLeft(membership.group, membership.epoch)) {
@@ -284,7 +284,7 @@
   }
   const bool just_returned =
       m_store_returned && now - *m_store_returned < m_policy.expiry_grace;
-  // A server that was leaving is gone whatever the store went through.
+  // A draining server is removed at once, even after an outage.
   if (just_returned && !found->second.draining) {
     m_pending_removal.try_emplace(found->first,
                                   *m_store_returned + m_policy.expiry_grace);
--- a/source/site_catalog.cc
+++ b/source/site_catalog.cc
@@ -46,7 +46,7 @@
                                 std::string_view path) const {
   path = path.substr(0, path.find('?'));
   while (!path.empty()) {
-    // A prefix ends with a slash, so only the slashes of the path count.
+    // Prefixes end with a slash, so only positions after a slash can match.
     const size_t slash = path.rfind('/');
     if (slash == std::string_view::npos) {
       return nullptr;
--- a/source/site_evacuations.cc
+++ b/source/site_evacuations.cc
@@ -15,7 +15,7 @@
 }
 
 bool SiteEvacuations::OnList(DataCentres data_centres, uint64_t revision) {
-  // A read that may be old takes nothing back.
+  // An older listing may be stale and reverts nothing.
   return revision >= m_known_revision &&
          Apply(std::move(data_centres), revision);
 }
@@ -28,8 +28,8 @@
     return Apply(update.data_centres, update.revision);
   }
   if (update.data_centres != m_data_centres) {
-    // The teller missed a change that this host may know from a listing, of
-    // which it has told nobody.
+    // The peer missed a change that this host may have learned from a listing,
+    // which it does not publish. Publish it now.
     m_published_revision = m_known_revision;
   }
   return false;
--- a/source/site_regions.cc
+++ b/source/site_regions.cc
@@ -13,9 +13,10 @@
     const bool is_valid =
         colon != std::string_view::npos && colon > 0 && colon + 1 < pair.size();
     if (!is_valid) {
-      return Fail(ResultCode::kSettingsInvalid,
-                  "'" + std::string(pair) +
-                      "' names no region; it must be DATA-CENTRE:REGION.");
+      return Fail(
+          ResultCode::kSettingsInvalid,
+          "'" + std::string(pair) +
+              "' is not a valid region entry; expected DATA-CENTRE:REGION.");
     }
     regions[std::string(pair.substr(0, colon))] = pair.substr(colon + 1);
   }
--- a/source/store_absence.cc
+++ b/source/store_absence.cc
@@ -24,7 +24,7 @@
   if (!m_peers_ahead_at) {
     return true;
   }
-  // Nothing lapses in an absence as short as this, so nothing need be kept.
+  // No registration expires in so short a time, so none needs to be kept.
   const bool is_short = now - lost < m_policy.propagation_time;
   return !is_short && *m_peers_ahead_at - lost < m_policy.propagation_time;
 }
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -58,7 +58,7 @@
   return server;
 }
 
-TEST_CASE("the longest prefix that begins the path wins") {
+TEST_CASE("the route with the longest matching prefix is selected") {
   const Catalog catalog = MakeCatalog(1);
   CHECK(catalog.FindRoute("a.example", "/x/y/z")->name == "narrow");
   CHECK(catalog.FindRoute("a.example", "/x/y/")->name == "narrow");
@@ -70,7 +70,7 @@
   CHECK(catalog.FindRoute("a.example", "/x/a?b=/y/")->name == "wide");
 }
 
-TEST_CASE("keys, and versions that never go back") {
+TEST_CASE("keys are looked up, and older catalog versions are rejected") {
   const Catalog catalog = MakeCatalog(7);
   CHECK(catalog.FindWorkspace("secret")->name == "w");
   CHECK(catalog.FindWorkspace("wrong") == nullptr);
@@ -80,7 +80,7 @@
   CHECK_FALSE(SupersedesCatalog(&catalog, catalog));
 }
 
-TEST_CASE("services of a split route are chosen by weight") {
+TEST_CASE("services of a route are selected by weight") {
   Route route;
   route.shares = {{"a", 90}, {"b", 10}};
   CHECK(ChooseService(route, 0) == "a");
@@ -90,10 +90,11 @@
 }
 
 TEST_CASE(
-    "registrations that lapse while the store is away are kept for a while") {
-  // Callers go on being served. The store comes back without the entries of
-  // servers that live; they register again within two seconds. One that does
-  // not is gone.
+    "registrations that expire during a store outage are kept for a grace "
+    "period") {
+  // Guards against callers losing live servers after a store outage. The store
+  // returns without the registrations of live servers; these register again
+  // within two seconds, and a server that does not is removed.
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeFree("a"), kStart);
   directory.Put(MakeFree("b"), kStart);
@@ -109,7 +110,7 @@
   CHECK(directory.Find("b") == nullptr);
 }
 
-TEST_CASE("a server that was leaving is gone at once, also after an outage") {
+TEST_CASE("a draining server is removed at once, even after an outage") {
   ServerDirectory directory{DirectoryPolicy{}};
   BackendServer draining_server = MakeFree("a");
   draining_server.draining = true;
@@ -118,32 +119,33 @@
   CHECK(directory.Remove("a", kStart + Milliseconds(1)));
 }
 
-TEST_CASE("a member that leaves a group whose head is open is remembered") {
-  // If the member joined another group now, the head, which may live behind a
-  // partition, would still hold requests of a group that shares a host.
+TEST_CASE("a member that leaves a group with an open head is held") {
+  // Guards against a host that is assigned to two groups. A head behind a
+  // network partition may still have requests of its group; if the member
+  // joined another group now, the two groups would share a host.
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("head", "g", 0, MembershipState::kOpen), kStart);
   directory.Put(MakeMember("b", "g", 1, MembershipState::kReady), kStart);
   directory.Put(MakeMember("c", "g", 2, MembershipState::kReady), kStart);
   directory.Put(MakeFree("b"), kStart + Seconds(1));
   CHECK(directory.IsHeld("b", kStall, kStart + Seconds(2)));
-  // However long ago: a head that is still registered may open anew.
+  // This holds at any later time: a head that is still registered may open
+  // again.
   CHECK(directory.IsHeld("b", kStall, kStart + Seconds(60)));
-  // Its last report may be old: only a head that left holds nothing for sure.
+  // The head's last report may be outdated; only a head that left the group is
+  // known to have no requests.
   directory.Put(MakeFree("head"), kStart + Seconds(2));
   CHECK(directory.HeadLeft("g", 1));
   directory.Put(MakeFree("c"), kStart + Seconds(3));
   CHECK_FALSE(directory.IsHeld("c", kStall, kStart + Seconds(3)));
   CHECK_FALSE(directory.IsHeld("b", kStall, kStart + Seconds(3)));
-  // A new membership ends it.
+  // A new membership ends the hold.
   directory.Put(MakeMember("b", "h", 1, MembershipState::kJoining),
                 kStart + Seconds(4));
   CHECK_FALSE(directory.IsHeld("b", kStall, kStart + Seconds(4)));
 }
 
-TEST_CASE(
-    "a member whose head is not to be seen counts as having left a held "
-    "group") {
+TEST_CASE("a member that leaves a group with an unknown head is held") {
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("b", "g", 1, MembershipState::kReady), kStart);
   directory.Put(MakeFree("b"), kStart + Seconds(1));
@@ -152,7 +154,7 @@
 }
 
 TEST_CASE(
-    "at a first reading hosts without a group may have left one just now") {
+    "at the first listing, hosts without a group are held if groups exist") {
   ServerDirectory empty{DirectoryPolicy{}};
   empty.Put(MakeFree("a"), kStart);
   empty.OnInitialListing(kStart);
@@ -164,7 +166,7 @@
   CHECK(running.IsHeld("a", kStall, kStart));
 }
 
-TEST_CASE("a replica serves only whole, ready and with an open head") {
+TEST_CASE("a replica serves only if complete, ready and with an open head") {
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("a", "g", 0, MembershipState::kOpen), kStart);
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
@@ -179,7 +181,7 @@
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
 }
 
-TEST_CASE("a log brings a second one exactly up to date") {
+TEST_CASE("property: Since() returns exactly the missed changes") {
   REQUIRE(rc::check("after Since(), both logs hold the same objects", [] {
     ChangeLog first(5);
     ChangeLog second(5);
@@ -204,7 +206,7 @@
       }
       RC_ASSERT(first.All() == second.All());
     } else {
-      // Only a log that forgot removals may decline.
+      // Only a log that compacted removals may return nullopt.
       RC_ASSERT(changes.size() > 5);
     }
   }));
@@ -220,10 +222,11 @@
   CHECK(log.Since(5)->size() == 1);
 }
 
-TEST_CASE("an outage is told from a host that was cut off alone") {
-  // After an outage, servers whose registrations lapsed are kept. What peers
-  // tell of while the store is away shows that it served them, but for what it
-  // had told them just before; the first host to return has heard no more.
+TEST_CASE("a store outage is distinguished from one host's lost connection") {
+  // After an outage, servers with expired registrations are kept. Changes that
+  // peers report during the absence show that the store served them, except for
+  // changes in transit when it began; the first host to reconnect after an
+  // outage has received no others.
   const TimePoint lost{Seconds(100)};
   const auto returns = [lost](std::optional<Duration> told, Duration after) {
     StoreOutageDetector absence;
@@ -239,7 +242,7 @@
   CHECK(returns(std::nullopt, Seconds(5)));
   CHECK(returns(Milliseconds(150), Seconds(5)));
   CHECK_FALSE(returns(Seconds(3), Seconds(5)));
-  // An absence in which nothing can lapse.
+  // An absence too short for any registration to expire.
   CHECK_FALSE(returns(Milliseconds(150), Milliseconds(300)));
 }
 
@@ -256,10 +259,10 @@
   return server;
 }
 
-TEST_CASE("a member that starts again under its id is missing in its group") {
-  // Requests of the group stand still. The member's new process says that it is
-  // in no group; a late order to join may even bring it back under the same
-  // name and epoch, and the head goes on standing still.
+TEST_CASE("a member restarted under its id is missing from its group") {
+  // Guards against a stalled group being treated as serving. The member's new
+  // process reports that it is in no group. A late order to join may bring it
+  // back under the same name and epoch, but the head stays stalled.
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("a", 0, 100), kStart);
   directory.Put(MakeMember("b", 1, 100), kStart);
@@ -272,13 +275,14 @@
   CHECK(directory.Put(restarted, kStart + Seconds(1)));
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
   CHECK_FALSE(directory.IsHeld("b", kStall, kStart + Seconds(1)));
-  // What the earlier process wrote arrives late and changes nothing.
+  // A late registration of the earlier process changes nothing.
   CHECK_FALSE(directory.Put(MakeMember("b", 1, 100), kStart + Seconds(2)));
   CHECK(directory.Find("b")->process_start_ms == 200);
   CHECK_FALSE(IsServing(directory.Replicas("llm").front(), 2));
 }
 
-TEST_CASE("an entry of an ended process does not come back after its removal") {
+TEST_CASE(
+    "a late registration of an ended process is ignored after its removal") {
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("a", 0, 200), kStart);
   CHECK(directory.Remove("a", kStart + Seconds(1)));
@@ -287,8 +291,9 @@
   CHECK(directory.Put(MakeMember("a", 0, 200), kStart + Seconds(3)));
 }
 
-TEST_CASE("a head that starts again holds no requests of its group") {
-  // Its members would be held for the stall if it had only left the store.
+TEST_CASE("a restarted head has no requests of its group") {
+  // Guards against members being held for the full stall time although the head
+  // restarted. They are held if the head only lost its registration.
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("a", 0, 100), kStart);
   directory.Put(MakeMember("b", 1, 100), kStart);
@@ -303,8 +308,8 @@
   CHECK_FALSE(directory.IsHeld("b", kStall, kStart + Seconds(2)));
 }
 
-TEST_CASE("a server whose entry turns unreadable is out at once") {
-  // The store has just returned, so a lapsed registration would be kept.
+TEST_CASE("a server with an unreadable registration is removed at once") {
+  // The store has just returned, so an expired registration would be kept.
   ServerDirectory directory{DirectoryPolicy{}};
   directory.Put(MakeMember("a", 0, 100), kStart);
   directory.OnStoreReturned(kStart);
@@ -314,9 +319,9 @@
   CHECK(directory.Put(MakeMember("a", 0, 100), kStart + Seconds(1)));
 }
 
-TEST_CASE("what holds of evacuations is what was true last at the store") {
-  // Guards against a stale read, or a peer that missed a change, which would
-  // bring back an evacuation that was ended, or end one that holds.
+TEST_CASE("the evacuation state with the latest store revision wins") {
+  // Guards against a stale read, or a peer that missed a change, reverting the
+  // end of an evacuation or ending an active one.
   SiteEvacuations known;
   CHECK(known.News().revision == 0);
   CHECK_FALSE(known.OnList({}, 10));
@@ -332,9 +337,10 @@
   CHECK(known.News() == EvacuationUpdate{30, {}});
 }
 
-TEST_CASE("a peer that missed the end of an evacuation is told of it") {
-  // Guards against a host that listed the store after the end, has nothing to
-  // tell, and leaves a host behind that the store turns away.
+TEST_CASE("a peer that missed the end of an evacuation receives it") {
+  // Guards against a peer that stays outdated: a host that listed the store
+  // after the end of an evacuation has no update to send, and the peer has no
+  // access to the store.
   SiteEvacuations fresh;
   fresh.OnList({}, 30);
   SiteEvacuations behind;
@@ -344,7 +350,7 @@
   CHECK_FALSE(behind.Contains("a"));
 }
 
-TEST_CASE("regions are read whole or refused with the pair at fault") {
+TEST_CASE("a malformed region entry rejects the whole list") {
   const auto regions = ParseRegions("a:one,b:two");
   REQUIRE(regions);
   CHECK(RegionOf(*regions, "b") == "two");
@@ -355,9 +361,9 @@
   }
 }
 
-TEST_CASE("a server is cold by its own word until it says otherwise") {
-  // Guards against a server that is taken for warm by an assumption that ends
-  // before its own word does, and the other way round.
+TEST_CASE("a server is cold while it reports so or is assumed to be") {
+  // Guards against a server that is treated as warm because the assumed cold
+  // period ends before the reported one, and vice versa.
   ServerDirectory directory{DirectoryPolicy{}};
   BackendServer server;
   server.id = "s";
