--- a/include/filbertrack/backpressure.h
+++ b/include/filbertrack/backpressure.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Which backend servers an entry host may send a request to now, by what the
-/// servers say in their answers.
+/// Decides which backend servers this entry host may send a request to now,
+/// from the rate limits, back-off times, cold starts and shutdowns that the
+/// servers announce in their answers.
 
 #include <map>
 #include <optional>
@@ -20,11 +21,11 @@
 
 struct BackpressurePolicy {
   LimitPolicy limits;
-  RestPolicy rests;
-  /// An entry host keeps its part of the limits for so long after it was last
-  /// heard of: longer than a restart takes, and than a host that is too busy to
-  /// be heard sends on.
-  Duration host_memory = Seconds(10);
+  UnavailablePolicy unavailable;
+  /// How long an entry host keeps its share of the limits after it was last
+  /// heard of: longer than a restart takes, and longer than a host that is too
+  /// busy to exchange gossip goes on sending requests.
+  Duration host_ttl = Seconds(10);
 };
 
 class Backpressure {
@@ -34,69 +35,79 @@
                BackpressurePolicy policy,
                uint64_t first_revision);
 
+  /// Records what an answer, or another entry host, says of a server's limit.
   /// True if the limit of the server changed.
-  bool OnAnswer(const LimitReading& reading, TimePoint now);
-  bool OnNews(const LimitWord& word, TimePoint now);
-
-  /// The server refused a request of this host and wants none for so long.
-  void OnRest(const ServerLife& server, Duration rest, TimePoint now) {
-    m_rests.OnRest(server, rest, now);
+  bool OnAnswer(const LimitObservation& observation, TimePoint now);
+  bool OnPeerUpdate(const LimitRecord& record, TimePoint now);
+
+  /// The server refused a request of this host and asked for none during
+  /// `backoff`.
+  void OnBackoff(const ServerInstance& server,
+                 Duration backoff,
+                 TimePoint now) {
+    m_unavailable.OnBackoff(server, backoff, now);
   }
-  /// True if the server was not known to be cold.
+  /// The server announced that it is cold. True if that was not known.
   bool OnCold(const ColdState& state, TimePoint now) {
     return m_cold.OnCold(state, m_hosts, now);
   }
-  /// The server says that it leaves; true where it was not known.
-  bool OnLeaving(const ServerLife& server, TimePoint now) {
-    return m_rests.OnLeaving(server, now);
+  /// The server announced its shutdown. True if that was not known.
+  bool OnLeaving(const ServerInstance& server, TimePoint now) {
+    return m_unavailable.OnLeaving(server, now);
   }
 
-  /// The other entry hosts that are heard, or known from the store.
+  /// Sets the other entry hosts that gossip reports, or that the store lists,
+  /// and removes expired state. Called regularly, since hosts and records
+  /// expire by time.
   void SetFleet(std::span<const std::string> hosts, TimePoint now);
 
-  /// No server asks for anything, as most of the time.
+  /// No server restricts requests, which is the usual case.
   bool IsIdle() const {
-    return m_paces.empty() && m_rests.IsEmpty() && m_cold.IsEmpty();
+    return m_buckets.empty() && m_unavailable.IsEmpty() && m_cold.IsEmpty();
   }
-  bool MaySend(const ServerLife& server, TimePoint now) const;
-  /// How long until a request may be sent to the server; nullopt: not by
-  /// this host, as far as is known: others hold its limit, or it leaves.
-  std::optional<Duration> UntilSend(const ServerLife& server,
+  bool MaySend(const ServerInstance& server, TimePoint now) const;
+  /// How long until this host may send a request to the server; 0: now;
+  /// nullopt: not in the foreseeable future, because this host holds no share
+  /// of its limit or the server is shutting down.
+  std::optional<Duration> UntilSend(const ServerInstance& server,
                                     TimePoint now) const;
-  void OnSent(const ServerLife& server, TimePoint now);
+  void OnSent(const ServerInstance& server, TimePoint now);
 
-  /// Requests a second; nullopt: the server names no limit.
-  std::optional<double> LimitOf(const ServerLife& server) const {
+  /// Requests per second, from all entry hosts together; nullopt: the server
+  /// names no limit.
+  std::optional<double> LimitOf(const ServerInstance& server) const {
     return m_limits.LimitOf(server);
   }
-  size_t CountLimited() const { return m_paces.size(); }
-  size_t CountResting(TimePoint now) const { return m_rests.CountResting(now); }
-  size_t CountLeaving() const { return m_rests.CountLeaving(); }
+  size_t CountLimited() const { return m_buckets.size(); }
+  size_t CountBackingOff(TimePoint now) const {
+    return m_unavailable.CountBackingOff(now);
+  }
+  size_t CountLeaving() const { return m_unavailable.CountLeaving(); }
   size_t CountCold(TimePoint now) const { return m_cold.Count(now); }
 
-  /// What the peer lacks that knows this host's words up to `known`.
-  LimitNews Since(uint64_t known, TimePoint now) const {
+  /// The limits for a peer that has this host's records up to revision `known`.
+  LimitUpdate Since(uint64_t known, TimePoint now) const {
     return m_limits.Since(known, now);
   }
 
  private:
-  /// This host's part of a limit; nullopt: it holds none.
-  using Pace = std::optional<TokenBucket>;
+  /// This host's share of a limit; nullopt: it holds none.
+  using HostBucket = std::optional<TokenBucket>;
 
-  /// True if other hosts than before are remembered.
-  bool NoteHeard(std::span<const std::string> hosts, TimePoint now);
-  void SetPace(const ServerLife& server, TimePoint now);
-  void SetPaces(TimePoint now);
+  /// Updates `m_last_seen` and `m_hosts`. True if the set of hosts changed.
+  bool UpdateHosts(std::span<const std::string> hosts, TimePoint now);
+  void SetBucket(const ServerInstance& server, TimePoint now);
+  void SetBuckets(TimePoint now);
 
   std::string m_own;
   BackpressurePolicy m_policy;
   LimitLedger m_limits;
-  RestLedger m_rests;
+  UnavailableServers m_unavailable;
   ColdServers m_cold;
-  /// Of each server that names a limit.
-  std::map<ServerLife, Pace> m_paces;
-  std::map<std::string, TimePoint, std::less<>> m_heard;
-  /// The names in `m_heard`, and this host's.
+  /// One row per server that names a limit.
+  std::map<ServerInstance, HostBucket> m_buckets;
+  std::map<std::string, TimePoint, std::less<>> m_last_seen;
+  /// This host's name, then the names in `m_last_seen`.
   std::vector<std::string> m_hosts;
 };
 
--- a/include/filbertrack/backpressure_limits.h
+++ b/include/filbertrack/backpressure_limits.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The rate limits that backend servers name in their answers, as this entry
-/// host was told of them by the servers and by other entry hosts.
+/// Stores the rate limits that backend servers name in their answers, as
+/// received from the servers and, by gossip, from other entry hosts.
 
 #include <cstddef>
 #include <cstdint>
@@ -10,90 +10,97 @@
 #include <vector>
 
 #include "filbertrack/base_time.h"
-#include "filbertrack/server_life.h"
+#include "filbertrack/server_instance.h"
 
 namespace filbertrack {
 
-/// What the head of one answer says of its server's limit.
-struct LimitReading {
-  ServerLife server;
-  /// Requests a second, from all entry hosts together; nullopt: none is named.
+/// The limit that the header of one answer names for its server.
+struct LimitObservation {
+  ServerInstance server;
+  /// Requests per second, from all entry hosts together; nullopt: the answer
+  /// names no limit.
   std::optional<double> limit;
-  /// When the request was sent.
+  /// When the request of this answer was sent.
   TimePoint sent;
 };
 
-/// What is known of one server, for another entry host.
-struct LimitWord {
-  ServerLife server;
-  /// nullopt: it named a limit before, and does no more.
+/// The limit of one server as sent to another entry host.
+struct LimitRecord {
+  ServerInstance server;
+  /// Requests per second; nullopt: the server named a limit before and names
+  /// none any more.
   std::optional<double> limit;
-  /// Time since the server said so.
+  /// Time since the server last named it.
   Duration age{0};
 };
 
-/// Words for another entry host.
-struct LimitNews {
-  /// The teller's words up to this revision are told with these.
+/// Limit records for another entry host.
+struct LimitUpdate {
+  /// With `words`, the receiver has the sender's records up to this revision.
   uint64_t revision = 0;
-  std::vector<LimitWord> words;
+  std::vector<LimitRecord> words;
 };
 
 struct LimitPolicy {
-  /// A limit that no answer named for this long is forgotten.
-  Duration limit_life = Seconds(600);
-  /// The end of a limit is remembered against late news of the limit.
-  Duration end_life = Seconds(60);
-  size_t most_told = 256;
-  size_t most_words = 4096;
+  /// How long a limit is kept after an answer last named it.
+  Duration limit_ttl = Seconds(600);
+  /// How long the end of a limit is kept, so that a delayed record of the limit
+  /// does not restore it.
+  Duration tombstone_ttl = Seconds(60);
+  size_t max_records_per_message = 256;
+  size_t max_records = 4096;
 };
 
 class LimitLedger {
  public:
-  /// Revisions begin above `first_revision`: random, so that a host that starts
-  /// again is not taken for the one before.
+  /// Revisions begin above `first_revision`, which should be random: peers then
+  /// do not mistake the revisions of a restarted host for earlier ones.
   LimitLedger(LimitPolicy policy, uint64_t first_revision)
       : m_policy(policy), m_revision(first_revision) {}
 
-  /// True if the limit of the server changed. An answer without a limit counts
-  /// only if its request was sent after the limit was last named: answers on
-  /// different connections may overtake each other.
-  bool OnAnswer(const LimitReading& reading, TimePoint now);
+  /// True if the limit of the server changed. An answer without a limit removes
+  /// the limit only if its request was sent after the limit was last named,
+  /// because answers on different connections may arrive out of order.
+  bool OnAnswer(const LimitObservation& observation, TimePoint now);
 
-  /// A word of another entry host; true if the limit of the server changed.
-  bool OnNews(const LimitWord& word, TimePoint now);
+  /// Merges a record of another entry host unless the stored one is more
+  /// recent. True if the limit of the server changed.
+  bool OnPeerUpdate(const LimitRecord& record, TimePoint now);
 
-  /// Requests a second; nullopt: the server names no limit.
-  std::optional<double> LimitOf(const ServerLife& server) const;
+  /// Requests per second; nullopt: the server names no limit.
+  std::optional<double> LimitOf(const ServerInstance& server) const;
 
-  /// Servers that name a limit.
-  std::vector<ServerLife> Limited() const;
+  /// The servers that name a limit.
+  std::vector<ServerInstance> LimitedServers() const;
 
-  /// Drops words that are old, and the oldest above the bound. True if there
-  /// were any.
+  /// Drops records that have expired and, above max_records, the oldest ones.
+  /// True if any was dropped.
   bool ForgetOld(TimePoint now);
 
   uint64_t revision() const { return m_revision; }
-  /// Words that came after `known`, a revision of this ledger; all of them
-  /// where it is none.
-  LimitNews Since(uint64_t known, TimePoint now) const;
+  /// Records changed after revision `known`, oldest first, at most
+  /// max_records_per_message. All records count as changed if `known` is higher
+  /// than the current revision, as after a restart of this host.
+  LimitUpdate Since(uint64_t known, TimePoint now) const;
 
  private:
-  struct Word {
+  struct StoredLimit {
     std::optional<double> limit;
-    /// When the server last said so.
+    /// When the server last named it.
     TimePoint at;
-    /// `at` as other entry hosts were told.
-    TimePoint told_at;
+    /// The value of `at` that was last advertised to other entry hosts.
+    TimePoint advertised_at;
     uint64_t revision = 0;
   };
 
-  void Confirm(Word& word, TimePoint at);
-  void Put(const ServerLife& server, std::optional<double> limit, TimePoint at);
+  void Refresh(StoredLimit& record, TimePoint at);
+  void Put(const ServerInstance& server,
+           std::optional<double> limit,
+           TimePoint at);
 
   LimitPolicy m_policy;
   uint64_t m_revision;
-  std::map<ServerLife, Word> m_words;
+  std::map<ServerInstance, StoredLimit> m_stored;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/site_evacuations.h
+++ b/include/filbertrack/site_evacuations.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Which data centres the operator has evacuated: nothing more is to be sent to
-/// their backend servers. Knowledge comes from the store and from other entry
-/// hosts; what was true at the later revision of the store counts.
+/// The data centres that the operator has evacuated, i.e. to whose backend
+/// servers nothing more is to be sent. The state is learned from the store and
+/// from other entry hosts; the one with the higher store revision wins.
 
 #include <cstdint>
 #include <set>
@@ -11,44 +11,48 @@
 
 namespace filbertrack {
 
-/// What one entry host tells another.
-struct EvacuationNews {
-  /// Revision of the store at which it was so; 0: nothing to tell.
+/// The evacuation state as sent to another entry host.
+struct EvacuationUpdate {
+  /// Store revision of this state; 0 if there is nothing to send.
   uint64_t revision = 0;
   std::set<std::string, std::less<>> data_centres;
 
-  bool operator==(const EvacuationNews&) const = default;
+  bool operator==(const EvacuationUpdate&) const = default;
 };
 
 class SiteEvacuations {
  public:
   using DataCentres = std::set<std::string, std::less<>>;
 
-  /// All that the store had at `revision`. True if it differs from what held.
+  /// Applies a complete listing of the store at `revision`. Returns whether the
+  /// state changed.
   bool OnList(DataCentres data_centres, uint64_t revision);
 
-  /// What another host told. True if it differs from what held.
-  bool OnNews(const EvacuationNews& news);
+  /// Applies an update from another entry host. Returns whether the state
+  /// changed.
+  bool OnPeerUpdate(const EvacuationUpdate& update);
 
   bool Contains(std::string_view data_centre) const {
     return m_data_centres.contains(data_centre);
   }
   const DataCentres& data_centres() const { return m_data_centres; }
 
-  /// For other hosts: empty until something was evacuated.
-  EvacuationNews News() const { return {m_told, NewsDataCentres()}; }
+  /// The update for other hosts; revision 0 until something was evacuated.
+  EvacuationUpdate News() const {
+    return {m_published_revision, UpdatedDataCentres()};
+  }
 
  private:
-  bool Take(DataCentres data_centres, uint64_t revision);
-  DataCentres NewsDataCentres() const {
-    return m_told == 0 ? DataCentres{} : m_data_centres;
+  bool Apply(DataCentres data_centres, uint64_t revision);
+  DataCentres UpdatedDataCentres() const {
+    return m_published_revision == 0 ? DataCentres{} : m_data_centres;
   }
 
   DataCentres m_data_centres;
-  /// The latest revision at which they are known to have been so.
-  uint64_t m_known = 0;
-  /// The revision that other hosts are told; 0: none.
-  uint64_t m_told = 0;
+  /// Latest store revision at which this state is known to be valid.
+  uint64_t m_known_revision = 0;
+  /// Revision that is sent to other hosts; 0 if nothing is sent.
+  uint64_t m_published_revision = 0;
 };
 
 }  // namespace filbertrack
--- a/source/admission_limits.cc
+++ b/source/admission_limits.cc
@@ -4,8 +4,10 @@
 
 namespace {
 
+/// Capacity of a bucket, in seconds of its rate.
 constexpr double kBurstSeconds = 1;
-constexpr Duration kRetryWithoutPart = Seconds(1);
+/// Sent to a caller while this host has no share of the entitlement.
+constexpr Duration kRetryWithoutShare = Seconds(1);
 
 }  // namespace
 
@@ -38,7 +40,7 @@
                                             TimePoint now) {
   const auto found = m_limits.find(key);
   if (found == m_limits.end() || found->second.bucket.per_second() <= 0) {
-    return OverEntitlement{kRetryWithoutPart};
+    return OverEntitlement{kRetryWithoutShare};
   }
   TokenBucket& bucket = found->second.bucket;
   if (!bucket.TryTake(now)) {
--- a/source/entry_relay.cc
+++ b/source/entry_relay.cc
@@ -4,17 +4,17 @@
 
 #include <nlohmann/json.hpp>
 
-#include "entry_trail.h"
+#include "entry_request_log.h"
 #include "filbertrack/dispatch_connections.h"
 
 namespace filbertrack {
 
 namespace {
 
-/// A stream of which so many bytes wait for the caller is read no further.
-constexpr size_t kMostUnsentBytes = 256 * 1024;
-/// Servers that refuse a request cost it little; beyond a few of them the fleet
-/// is full.
+/// Unsent bytes of a stream at which reading from the server is paused.
+constexpr size_t kMaxUnsentBytes = 256 * 1024;
+/// Sends allowed on top of the attempts, for servers that refuse to run the
+/// request. Such refusals are cheap, but after a few the fleet is full.
 constexpr int kSendsBeyondAttempts = 2;
 constexpr int kNotRunStatus = 503;
 constexpr int kBadGateway = 502;
@@ -49,7 +49,7 @@
 }
 
 void RefuseCall(HttpExchange& exchange,
-                const CallDialect& dialect,
+                const CallHeaderCodec& header_codec,
                 std::string_view request_id,
                 ResultCode code,
                 Outcome outcome,
@@ -59,12 +59,12 @@
                                {"name", row.name},
                                {"message", row.meaning},
                                {"outcome", OutcomeName(outcome)}};
-  HttpHeaders headers = dialect.RefusalHeaders(request_id, retry_after);
+  HttpHeaders headers = header_codec.RefusalHeaders(request_id, retry_after);
   headers.emplace_back("Content-Type", "application/json");
   exchange.Reply(RefusalStatus(code, outcome), headers, body.dump());
 }
 
-/// Carries out the machine's actions, one overload each.
+/// Carries out the actions of the state machine, one overload each.
 struct EntryActions {
   EntryRelay& relay;
 
@@ -82,9 +82,9 @@
   void operator()(const filbertrack::Refuse& action) const {
     relay.Refuse(action.code, action.outcome);
   }
-  void operator()(const BreakStream& action) const {
-    // Without the last chunk the caller sees that the answer is not whole, and
-    // can go on after the events that it has.
+  void operator()(const AbortStream& action) const {
+    // The missing last chunk shows the caller that the answer is incomplete; it
+    // can resume after the events that it has received.
     relay.m_exchange->Abort();
     relay.Finish({action.code, Outcome::kUnknown, relay.m_answer_status});
   }
@@ -107,8 +107,8 @@
   traits.relays_last_error = true;
   traits.ends_with_framing = true;
   traits.deadline = m_request.deadline;
-  m_policy.most_attempts = std::max(1, route.most_attempts);
-  m_policy.most_sends = m_policy.most_attempts + kSendsBeyondAttempts;
+  m_policy.max_attempts = std::max(1, route.max_attempts);
+  m_policy.max_sends = m_policy.max_attempts + kSendsBeyondAttempts;
   // Events are numbered from 1.
   m_state.next_token = m_request.facts.last_event.value_or(0) + 1;
 }
@@ -119,7 +119,7 @@
 
 void EntryRelay::Start() {
   const TimePoint now = MonotonicNow();
-  m_exchange->OnCallerGone([this] { Feed(CallerLeft{}); });
+  m_exchange->OnCallerGone([this] { Feed(CallerDisconnected{}); });
   m_deadline_timer =
       m_context.loop.After(std::max(Duration(0), m_request.deadline - now),
                            [this] { Feed(DeadlinePassed{}); });
@@ -140,7 +140,7 @@
     }
   }
   if (*alive && m_state.ended && !m_finished) {
-    // The caller left: nothing is to be answered.
+    // The caller disconnected, so there is nobody to answer.
     Finish({ResultCode::kCallerGone, m_state.known, 0});
   }
 }
@@ -153,8 +153,9 @@
     Feed(NoTarget{ResultCode::kStreamInterrupted});
     return;
   }
-  // Before the budget: it must take no retries from others.
-  if (!MayPass(now)) {
+  // Checked before the retry budget, so that a blocked request does not use up
+  // the retries of others.
+  if (!CheckAdmission(now)) {
     Feed(NoTarget{ResultCode::kEndsServers});
     return;
   }
@@ -162,9 +163,10 @@
     Feed(NoTarget{ResultCode::kAttemptRefused});
     return;
   }
-  const DispatchDecision decision =
-      m_next_choice ? DispatchDecision(*m_next_choice) : ChooseTarget(now);
-  m_next_choice.reset();
+  const DispatchDecision decision = m_failover_choice
+                                        ? DispatchDecision(*m_failover_choice)
+                                        : ChooseTarget(now);
+  m_failover_choice.reset();
   if (const auto* choice = std::get_if<DispatchChoice>(&decision)) {
     Send(*choice);
     return;
@@ -172,7 +174,7 @@
   const auto& refusal = std::get<DispatchRefusal>(decision);
   m_retry_after = refusal.retry_after;
   if (refusal.reason == DispatchDenial::kAllBusy) {
-    m_refused_at = refusal.predicted;
+    m_refused_prediction = refusal.predicted;
   }
   Feed(NoTarget{CodeOf(refusal.reason)});
 }
@@ -182,37 +184,37 @@
   query.service = m_request.service;
   query.model = m_request.facts.model;
   query.prompt_tokens = m_request.facts.prompt_tokens;
-  // A stream that broke off has missed its aim; it is taken up wherever it can
-  // be before the caller gives up.
+  // An interrupted stream can no longer meet its latency target, so any target
+  // that can resume it before the caller gives up is accepted.
   query.time_left = m_request.deadline - now;
-  query.time_to_aim =
+  query.time_to_slo =
       m_state.answer_started
           ? query.time_left
           : m_request.arrived + m_request.route->target_latency - now;
-  query.excluded = &m_tried;
-  query.near_data_centre = m_context.near_data_centre;
+  query.excluded = &m_tried_targets;
+  query.local_data_centre = m_context.local_data_centre;
   query.backpressure = m_context.backpressure.Active();
   query.route_regions = m_request.route->regions;
   query.workspace_regions = m_request.workspace_regions;
-  return m_context.board.Choose(query, now);
+  return m_context.selector.Choose(query, now);
 }
 
-bool EntryRelay::CanMoveOn(TimePoint now) {
-  if (!HasTriesLeft(m_state, m_policy) || !m_context.retries.CanSpend(now)) {
+bool EntryRelay::CanFailOver(TimePoint now) {
+  if (!HasAttemptsLeft(m_state, m_policy) || !m_context.retries.CanSpend(now)) {
     return false;
   }
   const DispatchDecision decision = ChooseTarget(now);
   if (const auto* choice = std::get_if<DispatchChoice>(&decision)) {
-    m_next_choice = *choice;
+    m_failover_choice = *choice;
   }
-  return m_next_choice.has_value();
+  return m_failover_choice.has_value();
 }
 
 void EntryRelay::Send(const DispatchChoice& choice) {
   const TimePoint now = MonotonicNow();
   m_choice = choice;
   m_last_target = choice.target.id;
-  m_tried.insert(choice.target.id);
+  m_tried_targets.insert(choice.target.id);
   if (m_on_trial) {
     m_context.poison.BeginTrial(digest(), now);
   }
@@ -221,19 +223,19 @@
   m_attempt_first_event = false;
   m_attempt_status = 0;
   m_not_run = false;
-  m_rest.reset();
-  m_why_ended = "broke off";
+  m_backoff.reset();
+  m_end_reason = "broke off";
   m_splitter = {};
   m_answer_body.clear();
-  m_context.board.OnSent(choice.target.id, m_request.facts.prompt_tokens);
+  m_context.selector.OnSent(choice.target.id, m_request.facts.prompt_tokens);
   m_context.backpressure.OnSent(choice.target, now);
   Feed(TargetChosen{});
-  PlacedLine line{m_request,
-                  choice,
-                  m_state.sends,
-                  std::nullopt,
-                  m_context.servers_revision,
-                  m_context.backpressure.LimitOf(choice.target)};
+  PlacedLogLine line{m_request,
+                     choice,
+                     m_state.sends,
+                     std::nullopt,
+                     m_context.servers_revision,
+                     m_context.backpressure.LimitOf(choice.target)};
   if (m_state.answer_started) {
     line.resumes_at = m_resume_from;
   }
@@ -264,14 +266,14 @@
   HttpCallRequest call;
   call.method_text = m_exchange->method_text();
   call.target = std::string(m_exchange->target());
-  call.headers = m_context.dialect.ForwardHeaders(*m_exchange, facts);
+  call.headers = m_context.header_codec.ForwardHeaders(*m_exchange, facts);
   call.body = m_exchange->body();
   call.connect_timeout = m_context.times.connect_timeout;
-  // A kept connection may have been closed by the server just now, and then
-  // nobody knows whether the request ran.
+  // The server may be closing an idle connection at this moment; it would then
+  // be unknown whether the request ran, and it could not be repeated.
   call.fresh_connection = !m_state.traits.idempotent;
-  call.most_kept =
-      KeptConnections(choice.target.most_connections, m_context.entry_hosts);
+  call.max_kept =
+      KeptConnections(choice.target.max_connections, m_context.entry_hosts);
   return call;
 }
 
@@ -283,9 +285,9 @@
   }
   if (failed) {
     const TimePoint now = MonotonicNow();
-    LogAttemptEnded({m_request, m_choice->target.id, m_why_ended,
+    LogAttemptEnded({m_request, m_choice->target.id, m_end_reason,
                      m_attempt_status, now - m_sent_at, now - m_last_byte,
-                     m_rest, m_digest});
+                     m_backoff, m_digest});
   }
   DispatchResult result = DispatchResult::kAnswered;
   if (m_not_run) {
@@ -295,17 +297,17 @@
   } else if (m_state.ended && !m_attempt_first_event) {
     result = DispatchResult::kAbandoned;
   }
-  m_context.board.OnEnded(m_choice->target.id, m_request.facts.prompt_tokens,
-                          !m_attempt_first_event, result, MonotonicNow());
+  m_context.selector.OnEnded(m_choice->target.id, m_request.facts.prompt_tokens,
+                             !m_attempt_first_event, result, MonotonicNow());
   m_choice.reset();
 }
 
-void EntryRelay::NoteFirstEvent(TimePoint now) {
+void EntryRelay::RecordFirstEvent(TimePoint now) {
   if (!m_attempt_first_event && m_choice) {
     m_attempt_first_event = true;
-    m_context.board.OnFirstEvent(m_choice->target.id,
-                                 m_request.facts.prompt_tokens,
-                                 m_choice->predicted, now - m_sent_at);
+    m_context.selector.OnFirstEvent(m_choice->target.id,
+                                    m_request.facts.prompt_tokens,
+                                    m_choice->predicted, now - m_sent_at);
   }
   if (!m_first_event) {
     m_first_event = now;
@@ -319,23 +321,23 @@
         std::max(m_longest_pause.value_or(Duration(0)), now - m_last_event);
   }
   m_last_event = now;
-  NoteFirstEvent(now);
+  RecordFirstEvent(now);
   if (!m_stream_started) {
     m_stream_started = true;
     m_exchange->StartStream(m_answer_status, m_answer_headers);
   }
   m_exchange->Send(event.raw);
-  if (m_exchange->UnsentBytes() > kMostUnsentBytes) {
-    CheckReader(false);
+  if (m_exchange->UnsentBytes() > kMaxUnsentBytes) {
+    UpdateReadPause(false);
   }
 }
 
-void EntryRelay::CheckReader(bool pauses) {
+void EntryRelay::UpdateReadPause(bool pauses) {
   if (m_call == nullptr) {
     return;
   }
-  const size_t most = pauses ? 0 : kMostUnsentBytes;
-  const bool paused = m_exchange->UnsentBytes() > most;
+  const size_t max_unsent = pauses ? 0 : kMaxUnsentBytes;
+  const bool paused = m_exchange->UnsentBytes() > max_unsent;
   if (paused == m_paused) {
     return;
   }
@@ -345,7 +347,7 @@
 }
 
 void EntryRelay::FinishStream() {
-  NoteServed();
+  ReportServed();
   if (!m_stream_started) {
     m_exchange->StartStream(m_answer_status, m_answer_headers);
   }
@@ -354,23 +356,23 @@
 }
 
 void EntryRelay::ForwardAnswer() {
-  NoteServed();
-  NoteFirstEvent(MonotonicNow());
+  ReportServed();
+  RecordFirstEvent(MonotonicNow());
   m_exchange->Reply(m_answer_status, m_answer_headers, m_answer_body);
   Finish({ResultCode::kOk, Outcome::kRan, m_answer_status});
 }
 
 void EntryRelay::Refuse(ResultCode code, Outcome outcome) {
   std::optional<Duration> retry_after;
-  // Neither gains by coming back.
+  // Retrying helps in neither case.
   const bool is_final =
       code == ResultCode::kDeadlinePassed || code == ResultCode::kEndsServers;
   if (outcome == Outcome::kNotRun && !is_final) {
     retry_after = m_retry_after;
   }
-  m_told_retry_after = retry_after;
-  RefuseCall(*m_exchange, m_context.dialect, m_request.facts.request_id, code,
-             outcome, retry_after);
+  m_sent_retry_after = retry_after;
+  RefuseCall(*m_exchange, m_context.header_codec, m_request.facts.request_id,
+             code, outcome, retry_after);
   Finish({code, outcome, RefusalStatus(code, outcome)});
 }
 
@@ -378,9 +380,10 @@
   if (!m_choice || m_choice->target.id != target) {
     return;
   }
-  const bool may_go = !m_state.answer_started || CanMoveOn(MonotonicNow());
-  if (m_state.traits.idempotent && may_go) {
-    m_why_ended = "its group lost a member";
+  const bool can_continue =
+      !m_state.answer_started || CanFailOver(MonotonicNow());
+  if (m_state.traits.idempotent && can_continue) {
+    m_end_reason = "its group lost a member";
     Feed(filbertrack::TargetLost{});
   }
 }
@@ -391,26 +394,26 @@
       m_paused) {
     return;
   }
-  const Duration pauses =
-      Scale(m_request.route->longest_pause, times.silent_pauses);
-  // Before its first event a request may wait for good reason, unless its
-  // target serves no more.
+  const Duration max_silence =
+      Scale(m_request.route->longest_pause, times.silence_factor);
+  // Before its first event a request may be waiting in a queue, so silence
+  // counts only if the target is no longer serving.
   const bool silent =
       m_attempt_first_event
           ? m_request.route->repeat == RepeatRule::kResumable &&
-                now - m_last_byte > std::max(pauses, times.least_silence)
-          : !m_context.board.HasTarget(m_choice->target.id) &&
-                now - m_last_byte > times.least_silence;
-  if (silent && (!m_state.answer_started || CanMoveOn(now))) {
-    m_why_ended = "silent";
+                now - m_last_byte > std::max(max_silence, times.min_silence)
+          : !m_context.selector.HasTarget(m_choice->target.id) &&
+                now - m_last_byte > times.min_silence;
+  if (silent && (!m_state.answer_started || CanFailOver(now))) {
+    m_end_reason = "silent";
     Feed(filbertrack::TargetLost{});
   }
 }
 
-void EntryRelay::Finish(const EntryEnd& end) {
+void EntryRelay::Finish(const EntryResult& end) {
   m_finished = true;
   m_deadline_timer.reset();
-  // The board counts the request at its target until the attempt is closed.
+  // The selector counts the request at its target until the attempt is closed.
   CloseAttempt(false);
   m_exchange->OnCallerGone(nullptr);
   m_on_end(*this, end);
--- a/source/entry_relay_poison.cc
+++ b/source/entry_relay_poison.cc
@@ -1,29 +1,30 @@
 #include "filbertrack/entry_relay.h"
 
-/// What a relay does about requests under which servers end: whether it may
-/// send, and what it tells of its attempts.
+/// EntryRelay: checks whether the request is blocked as a poison request, and
+/// describes its attempts to the poison detection.
 
 namespace filbertrack {
 
-bool EntryRelay::MayPass(TimePoint now) {
+bool EntryRelay::CheckAdmission(TimePoint now) {
   if (m_context.poison.IsIdle()) {
     return true;
   }
-  const EntryPoison::Passage passage = m_context.poison.MayPass(digest(), now);
-  m_on_trial = passage == EntryPoison::Passage::kTrial;
-  return passage != EntryPoison::Passage::kRefused;
+  const EntryPoison::Admission passage =
+      m_context.poison.CheckAdmission(digest(), now);
+  m_on_trial = passage == EntryPoison::Admission::kTrial;
+  return passage != EntryPoison::Admission::kRefused;
 }
 
-void EntryRelay::NoteServed() {
+void EntryRelay::ReportServed() {
   if (!m_context.poison.IsIdle()) {
     m_context.poison.OnServed(digest());
   }
 }
 
-void EntryRelay::CheckMark() {
+void EntryRelay::RefuseIfBlocked() {
   if (!m_state.answer_started && !m_on_trial &&
-      m_context.poison.IsMarked(digest())) {
-    m_why_ended = "servers end under it";
+      m_context.poison.IsBlocked(digest())) {
+    m_end_reason = "blocked as a poison request";
     Feed(NoTarget{ResultCode::kEndsServers});
   }
 }
--- a/source/fleet_view.cc
+++ b/source/fleet_view.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Older than any bound.
+/// Age of the evidence about a group of which nothing is known; exceeds every
+/// evidence bound.
 constexpr Duration kUnknownEvidenceAge = Seconds(60);
 
 LoadReport ReadLoad(const MemberReport& report, TimePoint now) {
@@ -25,7 +26,7 @@
   return std::string(key.substr(prefix.size()));
 }
 
-FleetGroup Locate(const Group& group, const DomainHosts& hosts) {
+FleetGroup MakeFleetGroup(const Group& group, const DomainHosts& hosts) {
   FleetGroup located{group, hosts.domain, hosts.data_centre, {}, nullptr};
   located.members =
       std::make_shared<const std::vector<std::string>>(group.members);
@@ -65,7 +66,7 @@
       continue;
     }
     for (const Group& group : state->groups) {
-      m_groups[group.id] = Locate(group, *hosts);
+      m_groups[group.id] = MakeFleetGroup(group, *hosts);
       for (const std::string& member : group.members) {
         m_group_of_host[member] = group.id;
       }
@@ -96,7 +97,7 @@
     candidate->load = ReadLoad(member.report, now);
     candidate->history.change_since_report = 0;
   }
-  RefreshWhole(*candidate, group, now);
+  UpdateCompleteness(*candidate, group, now);
   return group.id;
 }
 
@@ -163,7 +164,7 @@
   return rows;
 }
 
-void FleetView::KeepMembers(
+void FleetView::PruneMembers(
     const std::map<std::string, Address, std::less<>>& watched) {
   std::erase_if(m_members, [&watched](const auto& entry) {
     return !watched.contains(entry.first);
@@ -198,9 +199,9 @@
   }
 }
 
-RouteCandidate FleetView::Known(const std::string& id,
-                                uint64_t epoch,
-                                TimePoint now) {
+RouteCandidate FleetView::FindOrMakeCandidate(const std::string& id,
+                                              uint64_t epoch,
+                                              TimePoint now) {
   const RouteCandidate* known = FindCandidate(id);
   if (known != nullptr && known->target.epoch == epoch) {
     return *known;
@@ -209,8 +210,8 @@
   candidate.target.id = id;
   candidate.target.epoch = epoch;
   candidate.history.serving_since = now;
-  // Work in flight on an older epoch ends there; it still counts here until
-  // then, because it runs on the same hosts.
+  // Requests in flight on an older epoch run to completion on the same hosts,
+  // so they still count as load of this one.
   if (known != nullptr) {
     candidate.history.in_flight = known->history.in_flight;
   }
@@ -224,7 +225,8 @@
       continue;
     }
     for (const Address& address : service.backend_servers) {
-      RouteCandidate candidate = Known(name + "@" + address.ToString(), 0, now);
+      RouteCandidate candidate =
+          FindOrMakeCandidate(name + "@" + address.ToString(), 0, now);
       candidate.target.service = name;
       candidate.target.address = address;
       candidate.target.needs_evidence = false;
@@ -238,31 +240,31 @@
                           TimePoint now) {
   for (const auto& [id, located] : m_groups) {
     const Group& group = located.group;
-    // Groups that drain stay known, so that requests in flight go on; only a
-    // serving one gets new requests.
+    // Draining groups stay candidates so that their requests in flight can
+    // finish; only serving groups get new requests.
     if (group.phase != GroupPhase::kServing &&
         group.phase != GroupPhase::kDraining) {
       continue;
     }
-    RouteCandidate candidate = Known(id, group.epoch, now);
+    RouteCandidate candidate = FindOrMakeCandidate(id, group.epoch, now);
     candidate.target.service = group.service;
     candidate.target.data_centre = located.data_centre;
     candidate.target.adapters = {group.adapters.begin(), group.adapters.end()};
     candidate.target.address = located.addresses.front();
     candidate.target.leaving = group.phase == GroupPhase::kDraining;
-    RefreshWhole(candidate, group, now);
+    UpdateCompleteness(candidate, group, now);
     candidates.push_back(std::move(candidate));
   }
 }
 
-void FleetView::RefreshWhole(RouteCandidate& candidate,
-                             const Group& group,
-                             TimePoint now) {
+void FleetView::UpdateCompleteness(RouteCandidate& candidate,
+                                   const Group& group,
+                                   TimePoint now) {
   std::optional<TimePoint> oldest;
   for (const std::string& host : group.members) {
     const auto member = m_members.find(host);
     if (member == m_members.end()) {
-      return;  // Not read by this process; peers tell of the group.
+      return;  // Not watched by this process; peers send the evidence.
     }
     const MemberState& state = member->second;
     if (!state.alive_at || state.report.group != group.id ||
--- a/source/keyed_ledger.cc
+++ b/source/keyed_ledger.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kCompletionTag = "d";
 constexpr size_t kKeyDigits = 32;
 
-struct OrderToJson {
+struct OperationToJson {
   Json operator()(const KeyClaim& claim) const {
     return Json::array({kClaimTag, claim.key, claim.claim_id, claim.node,
                         claim.incarnation, claim.fingerprint});
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-std::optional<KeyAnswer> KeyLedger::Peek(const KeyOrder& order,
+std::optional<KeyAnswer> KeyLedger::Peek(const KeyOperation& operation,
                                          const IsLiveNode& is_live) const {
-  if (const auto* claim = std::get_if<KeyClaim>(&order)) {
+  if (const auto* claim = std::get_if<KeyClaim>(&operation)) {
     return PeekClaim(*claim, is_live);
   }
-  return PeekCompletion(std::get<KeyCompletion>(order));
+  return PeekCompletion(std::get<KeyCompletion>(operation));
 }
 
 std::optional<KeyAnswer> KeyLedger::PeekClaim(const KeyClaim& claim,
@@ -51,7 +51,7 @@
   }
   const Entry& entry = found->second;
   if (entry.claim.claim_id == claim.claim_id && !entry.completion) {
-    // An earlier write of this very claim took effect and its answer was lost.
+    // An earlier write of this claim took effect, but its answer was lost.
     return KeyAnswer{KeyVerdict::kRun, 0, "", ""};
   }
   if (entry.completion && entry.completion->outcome == Outcome::kNotRun) {
@@ -71,7 +71,7 @@
     return KeyAnswer{KeyVerdict::kOutcomeUnknown, 0, "", ""};
   }
   if (!done.has_body) {
-    return KeyAnswer{KeyVerdict::kAnswerGone, 0, "", ""};
+    return KeyAnswer{KeyVerdict::kAnswerNotStored, 0, "", ""};
   }
   return KeyAnswer{KeyVerdict::kReplay, done.status, done.content_type,
                    done.body};
@@ -88,8 +88,9 @@
   }
   if (found == m_entries.end() ||
       found->second.claim.claim_id != completion.claim_id) {
-    // The claim was never recorded, so there is nothing to complete. A late
-    // write of it could still come; the completion is recorded to close it.
+    // The claim was never recorded, so there is nothing to complete. A delayed
+    // write of it could still arrive; recording the completion closes the claim
+    // in advance.
     return completion.outcome == Outcome::kNotRun && found == m_entries.end()
                ? std::nullopt
                : std::optional(KeyAnswer{KeyVerdict::kRecorded, 0, "", ""});
@@ -97,15 +98,15 @@
   return KeyAnswer{KeyVerdict::kRecorded, 0, "", ""};
 }
 
-void KeyLedger::Apply(const KeyOrder& order) {
-  if (const auto* claim = std::get_if<KeyClaim>(&order)) {
+void KeyLedger::Apply(const KeyOperation& operation) {
+  if (const auto* claim = std::get_if<KeyClaim>(&operation)) {
     Entry& entry = m_entries[claim->key];
     if (entry.claim.claim_id != claim->claim_id) {
       entry = {*claim, std::nullopt};
     }
     return;
   }
-  const auto& completion = std::get<KeyCompletion>(order);
+  const auto& completion = std::get<KeyCompletion>(operation);
   Entry& entry = m_entries[completion.key];
   if (entry.claim.claim_id.empty()) {
     entry.claim.key = completion.key;
@@ -116,11 +117,11 @@
   }
 }
 
-Json ToJson(const KeyOrder& order) {
-  return std::visit(OrderToJson(), order);
+Json ToJson(const KeyOperation& operation) {
+  return std::visit(OperationToJson(), operation);
 }
 
-Result<KeyOrder> ParseKeyOrder(const Json& value) {
+Result<KeyOperation> ParseKeyOperation(const Json& value) {
   try {
     if (value.at(0) == kClaimTag) {
       return KeyClaim{value.at(1), value.at(2), value.at(3), value.at(4),
@@ -132,18 +133,18 @@
                            value.at(7)};
     }
   } catch (const Json::exception&) {
-    // Falls through to the refusal below.
+    // Reported as malformed below.
   }
   return Fail(ResultCode::kBadRequest,
-              "An order about an idempotency key cannot be read.");
+              "The idempotency key operation is malformed.");
 }
 
-std::string EncodeKeyOrder(const KeyOrder& order) {
-  return ToCbor(ToJson(order));
+std::string EncodeKeyOperation(const KeyOperation& operation) {
+  return ToCbor(ToJson(operation));
 }
 
-Result<KeyOrder> DecodeKeyOrder(std::string_view bytes) {
-  return ParseKeyOrder(ParseCbor(bytes).value_or(Json()));
+Result<KeyOperation> DecodeKeyOperation(std::string_view bytes) {
+  return ParseKeyOperation(ParseCbor(bytes).value_or(Json()));
 }
 
 std::string EncodeKeyAnswer(const KeyAnswer& answer) {
@@ -173,9 +174,10 @@
   return Sha256Hex(text).substr(0, kKeyDigits);
 }
 
-const std::string& KeyOf(const KeyOrder& order) {
+const std::string& KeyOf(const KeyOperation& operation) {
   return std::visit(
-      [](const auto& typed) -> const std::string& { return typed.key; }, order);
+      [](const auto& typed) -> const std::string& { return typed.key; },
+      operation);
 }
 
 }  // namespace filbertrack
--- a/source/request_machine.cc
+++ b/source/request_machine.cc
@@ -8,10 +8,10 @@
 
 constexpr int kFirstServerError = 500;
 
-/// Handles one event. Each overload is one row of the transition table.
-class Step {
+/// Handles one event; each overload is one row of the transition table.
+class Transition {
  public:
-  Step(RequestState& state, const RequestPolicy& policy, TimePoint now)
+  Transition(RequestState& state, const RequestPolicy& policy, TimePoint now)
       : m_state(state), m_policy(policy), m_now(now) {}
 
   Actions operator()(const TargetChosen&) {
@@ -23,22 +23,22 @@
     return {};
   }
 
-  Actions operator()(const NoTarget& event) { return GiveUp(event.code); }
+  Actions operator()(const NoTarget& event) { return EndRequest(event.code); }
 
   Actions operator()(const AttemptHead& event) {
     if (!m_state.attempt_open) {
       return {};
     }
     if (!event.request_id_matches) {
-      // Another request's answer on this connection, as after a late answer on
-      // a reused one. The caller would read somebody else's text; the attempt
-      // ends as if its connection had broken.
+      // This is the response to another request, such as a late response on a
+      // reused connection. It must not reach the caller, so the attempt ends as
+      // if its connection had failed.
       return EndAttempt(true);
     }
     if (event.says_not_run) {
       return EndAttempt(false);
     }
-    const bool last = m_state.attempts >= m_policy.most_attempts &&
+    const bool last = m_state.attempts >= m_policy.max_attempts &&
                       m_state.traits.relays_last_error;
     if (!m_state.traits.pass_any_status && !last &&
         event.status >= kFirstServerError) {
@@ -60,13 +60,12 @@
     const uint64_t token = event.event.id.value_or(m_state.attempt_token);
     m_state.attempt_token = token + 1;
     if (token < m_state.next_token) {
-      // The engine began before the place it was asked to resume from; the
-      // caller has this token.
+      // The engine started before the requested resume position; the caller
+      // already has this token.
       return {};
     }
     if (token > m_state.next_token) {
-      // A token is missing. Forwarding on would give the caller a text with a
-      // hole in it.
+      // A token is missing; forwarding this one would leave a gap in the text.
       return EndAttempt(true);
     }
     ++m_state.next_token;
@@ -88,7 +87,7 @@
     }
     if (m_state.traits.shape == AnswerShape::kTokenStream ||
         !m_state.attempt_relays) {
-      // A stream is whole only with its closing event.
+      // A stream is complete only with its closing event.
       return EndAttempt(true);
     }
     m_state.attempt_open = false;
@@ -111,10 +110,10 @@
   }
 
   Actions operator()(const DeadlinePassed&) {
-    return GiveUp(ResultCode::kDeadlinePassed);
+    return EndRequest(ResultCode::kDeadlinePassed);
   }
 
-  Actions operator()(const CallerLeft&) {
+  Actions operator()(const CallerDisconnected&) {
     Actions actions;
     if (m_state.attempt_open) {
       m_state.known = Outcome::kUnknown;
@@ -132,7 +131,7 @@
     }
   }
 
-  /// Ends an attempt without an answer and decides whether there is another.
+  /// Ends an attempt that gave no response and decides whether to make another.
   Actions EndAttempt(bool may_have_run) {
     Actions actions;
     actions.emplace_back(CloseAttempt{true});
@@ -143,34 +142,36 @@
       --m_state.attempts;
     }
     if (m_now >= m_state.traits.deadline) {
-      return Append(std::move(actions), GiveUp(ResultCode::kDeadlinePassed));
+      return Append(std::move(actions),
+                    EndRequest(ResultCode::kDeadlinePassed));
     }
     if (may_have_run && !m_state.traits.idempotent) {
-      return Append(std::move(actions), GiveUp(ResultCode::kUpstreamFailed));
+      return Append(std::move(actions),
+                    EndRequest(ResultCode::kUpstreamFailed));
     }
-    if (!HasTriesLeft(m_state, m_policy)) {
+    if (!HasAttemptsLeft(m_state, m_policy)) {
       return Append(std::move(actions),
-                    GiveUp(m_state.known == Outcome::kNotRun
-                               ? ResultCode::kAttemptRefused
-                               : ResultCode::kUpstreamFailed));
+                    EndRequest(m_state.known == Outcome::kNotRun
+                                   ? ResultCode::kAttemptRefused
+                                   : ResultCode::kUpstreamFailed));
     }
     actions.emplace_back(SeekTarget{true, m_state.next_token});
     return actions;
   }
 
-  /// The final answer, at once: holding it back would only keep the caller
-  /// from asking elsewhere.
-  Actions GiveUp(ResultCode code) {
+  /// Returns the final error immediately; delaying it would only keep the
+  /// caller from trying elsewhere.
+  Actions EndRequest(ResultCode code) {
     Actions actions;
-    // An attempt that is stopped now may have run; only one that was never
-    // open, or was refused by the backend server, is known not to have.
+    // An attempt that is aborted now may have run. Only one that was never
+    // open, or that the backend server refused, is known not to have run.
     if (m_state.attempt_open) {
       m_state.known = Outcome::kUnknown;
     }
     Close(actions);
     m_state.ended = true;
     if (m_state.answer_started) {
-      actions.emplace_back(BreakStream{code});
+      actions.emplace_back(AbortStream{code});
     } else {
       actions.emplace_back(Refuse{code, m_state.known});
     }
@@ -191,9 +192,8 @@
 
 }  // namespace
 
-bool HasTriesLeft(const RequestState& state, const RequestPolicy& policy) {
-  return state.attempts < policy.most_attempts &&
-         state.sends < policy.most_sends;
+bool HasAttemptsLeft(const RequestState& state, const RequestPolicy& policy) {
+  return state.attempts < policy.max_attempts && state.sends < policy.max_sends;
 }
 
 Actions StartRequest(RequestState& state, TimePoint now) {
@@ -211,7 +211,7 @@
   if (state.ended) {
     return {};
   }
-  return std::visit(Step(state, policy, now), event);
+  return std::visit(Transition(state, policy, now), event);
 }
 
 }  // namespace filbertrack
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -16,20 +16,21 @@
 const EntitlementKey kKey{"officers", "spectra"};
 
 TEST_CASE(
-    "property: loans never make more than the whole, answers lost or late") {
-  // Two hosts ask each other at any time; each answer may be lost or arrive a
-  // second late. The sum in use stays within the two base parts.
+    "property: loans never exceed the entitlement, replies lost or delayed") {
+  // Two hosts request loans from each other at any time; each reply may be lost
+  // or delayed by up to 1.5 s. The sum of the rates in use stays within the sum
+  // of the two base rates.
   REQUIRE(rc::check("loans", [] {
     const LoanPolicy policy;
     std::vector<EntitlementParts> hosts(2);
     const std::vector<std::string> names = {"a", "b"};
-    struct Late {
+    struct DelayedReply {
       size_t borrower;
       double rate;
       TimePoint asked_at;
       TimePoint arrives;
     };
-    std::vector<Late> late;
+    std::vector<DelayedReply> delayed;
     TimePoint now = kStart;
     for (EntitlementParts& host : hosts) {
       host.SetBase(kKey, 10);
@@ -42,7 +43,8 @@
       for (int request = 0; request < requests; ++request) {
         hosts[self].OnDemand(kKey, policy, now);
       }
-      for (const auto& wish : hosts[self].Wishes(names[other], policy, now)) {
+      for (const auto& wish :
+           hosts[self].LoanRequests(names[other], policy, now)) {
         const TimePoint asked_at = now;
         const double rate = hosts[other].Grant(
             names[self], kKey, wish.requests_per_second, policy, now);
@@ -51,19 +53,19 @@
             hosts[self].OnGranted(names[other], kKey, rate, policy, asked_at);
             break;
           case 1:
-            late.push_back({self, rate, asked_at,
-                            now + Milliseconds(*rc::gen::inRange(1, 1500))});
+            delayed.push_back({self, rate, asked_at,
+                               now + Milliseconds(*rc::gen::inRange(1, 1500))});
             break;
           default:
             break;
         }
       }
-      for (size_t j = late.size(); j-- > 0;) {
-        if (late[j].arrives <= now) {
-          hosts[late[j].borrower].OnGranted(names[1 - late[j].borrower], kKey,
-                                            late[j].rate, policy,
-                                            late[j].asked_at);
-          late.erase(late.begin() + static_cast<ptrdiff_t>(j));
+      for (size_t j = delayed.size(); j-- > 0;) {
+        if (delayed[j].arrives <= now) {
+          hosts[delayed[j].borrower].OnGranted(names[1 - delayed[j].borrower],
+                                               kKey, delayed[j].rate, policy,
+                                               delayed[j].asked_at);
+          delayed.erase(delayed.begin() + static_cast<ptrdiff_t>(j));
         }
       }
       RC_ASSERT(hosts[0].Usable(kKey, now) + hosts[1].Usable(kKey, now) <=
@@ -72,9 +74,10 @@
   }));
 }
 
-TEST_CASE("an unused part is lent, and comes back by age") {
-  // A caller whose requests all reach one entry host gets nearly the whole of
-  // its entitlement there, and the other host has its part back later.
+TEST_CASE("an unused part is lent and returns when the loan expires") {
+  // A caller whose requests all reach one entry host can use nearly its whole
+  // entitlement there. Once the loan expires, the other host has its part
+  // again.
   const LoanPolicy policy;
   EntitlementParts busy;
   EntitlementParts idle;
@@ -83,37 +86,37 @@
   for (int i = 0; i < 30; ++i) {
     busy.OnDemand(kKey, policy, kStart);
   }
-  const auto wishes = busy.Wishes("idle", policy, kStart);
+  const auto wishes = busy.LoanRequests("idle", policy, kStart);
   REQUIRE(wishes.size() == 1);
   const double rate =
       idle.Grant("busy", kKey, wishes[0].requests_per_second, policy, kStart);
   busy.OnGranted("idle", kKey, rate, policy, kStart);
   CHECK(busy.Usable(kKey, kStart) == doctest::Approx(17.5));
-  const TimePoint later = kStart + policy.loan_time;
+  const TimePoint later = kStart + policy.loan_ttl;
   CHECK(busy.Usable(kKey, later) == doctest::Approx(10));
   CHECK(idle.Usable(kKey, later) == doctest::Approx(10));
 }
 
-/// A host at the interface of the division rules.
+/// An entry host reduced to its DivisionTracker and the epochs it has heard.
 struct DividedHost {
-  explicit DividedHost(const std::string& name) : name(name), keeper(name) {}
+  explicit DividedHost(const std::string& name) : name(name), tracker(name) {}
   std::string name;
-  DivisionKeeper keeper;
-  /// What it last heard of each host: epoch, and when that was true.
+  DivisionTracker tracker;
+  /// Epoch last heard of each host, and when that host had it.
   std::map<std::string, std::pair<uint64_t, TimePoint>> heard;
 };
 
 TEST_CASE(
-    "property: the parts in use never pass the whole, also in partitions") {
-  // Hosts come and go, messages are lost between any two, and the division is
-  // rewritten by whoever reaches the store.
+    "property: shares in use never exceed the whole, also in partitions") {
+  // Hosts join and leave, messages between any two are lost, and any host that
+  // reaches the store may write the next division.
   REQUIRE(rc::check("division", [] {
     const DivisionPolicy policy;
     const std::vector<std::string> names = {"a", "b", "c", "d"};
     std::vector<DividedHost> hosts(names.begin(), names.end());
     Division stored{1, {"a", "b", "c"}, {}};
     for (DividedHost& host : hosts) {
-      host.keeper.OnDivision(stored, kStart);
+      host.tracker.OnDivision(stored, kStart);
     }
     TimePoint now = kStart;
     std::vector<bool> cut(4, false);
@@ -124,9 +127,9 @@
         cut[host] = !cut[host];
       }
       const auto writer = *rc::gen::inRange<size_t>(0, 4);
-      const DivisionKeeper& knows = hosts[writer].keeper;
-      if (!cut[writer] && knows.IsSettled(now) &&
-          knows.division().epoch == stored.epoch) {
+      const DivisionTracker& writer_tracker = hosts[writer].tracker;
+      if (!cut[writer] && writer_tracker.IsSettled(now) &&
+          writer_tracker.division().epoch == stored.epoch) {
         Division next;
         next.epoch = stored.epoch + 1;
         next.previous_nodes = stored.nodes;
@@ -142,42 +145,42 @@
       for (size_t self = 0; self < hosts.size(); ++self) {
         DividedHost& host = hosts[self];
         if (!cut[self] && *rc::gen::arbitrary<bool>()) {
-          host.keeper.OnDivision(stored, now);
+          host.tracker.OnDivision(stored, now);
         }
         for (size_t other = 0; other < hosts.size(); ++other) {
           if (cut[self] == cut[other] && *rc::gen::arbitrary<bool>()) {
-            host.heard[names[other]] = {hosts[other].keeper.division().epoch,
+            host.heard[names[other]] = {hosts[other].tracker.division().epoch,
                                         now};
           }
         }
-        host.heard[host.name] = {host.keeper.division().epoch, now};
-        const Division& division = host.keeper.division();
+        host.heard[host.name] = {host.tracker.division().epoch, now};
+        const Division& division = host.tracker.division();
         std::vector<TimePoint> times;
         for (const std::string& node : division.nodes) {
-          const auto word = host.heard.find(node);
-          if (word != host.heard.end() &&
-              word->second.first == division.epoch) {
-            times.push_back(word->second.second);
+          const auto entry = host.heard.find(node);
+          if (entry != host.heard.end() &&
+              entry->second.first == division.epoch) {
+            times.push_back(entry->second.second);
           }
         }
         std::sort(times.rbegin(), times.rend());
         const size_t half = (division.nodes.size() + 1) / 2;
         if (times.size() >= half) {
-          host.keeper.OnConfirmed(times[half - 1]);
+          host.tracker.OnConfirmed(times[half - 1]);
         }
         size_t left = 0;
         for (const std::string& node : division.previous_nodes) {
-          const auto word = host.heard.find(node);
-          left +=
-              word != host.heard.end() && word->second.first >= division.epoch;
+          const auto entry = host.heard.find(node);
+          left += entry != host.heard.end() &&
+                  entry->second.first >= division.epoch;
         }
         if (left * 2 > division.previous_nodes.size()) {
-          host.keeper.OnMostLeft(policy, now);
+          host.tracker.OnMajorityLeft(policy, now);
         }
       }
       double sum = 0;
       for (const DividedHost& host : hosts) {
-        sum += host.keeper.Share(policy, now);
+        sum += host.tracker.Share(policy, now);
       }
       RC_ASSERT(sum <= 1.000001);
     }
@@ -185,19 +188,20 @@
 }
 
 TEST_CASE("three of six hosts replaced at once while the store is down") {
-  // Callers of the other three are still served: at least half of the hosts
-  // confirm the division, and nobody can write a new one.
+  // Requests at the other three are still admitted: at least half of the hosts
+  // confirm the division, and none can write a new one.
   const DivisionPolicy policy;
-  DivisionKeeper keeper("a");
-  keeper.OnDivision({1, {"a", "b", "c", "d", "e", "f"}, {}}, kStart);
-  keeper.OnConfirmed(kStart + Seconds(60));
-  CHECK(keeper.Share(policy, kStart + Seconds(60)) == doctest::Approx(1.0 / 6));
-  CHECK(keeper.Share(policy, kStart + Seconds(64)) == 0);
+  DivisionTracker tracker("a");
+  tracker.OnDivision({1, {"a", "b", "c", "d", "e", "f"}, {}}, kStart);
+  tracker.OnConfirmed(kStart + Seconds(60));
+  CHECK(tracker.Share(policy, kStart + Seconds(60)) ==
+        doctest::Approx(1.0 / 6));
+  CHECK(tracker.Share(policy, kStart + Seconds(64)) == 0);
 }
 
-TEST_CASE("a large workspace's backlog does not stand before a small one") {
-  // A clerk's one request is served second although a hundred of a large
-  // workspace came before it.
+TEST_CASE("a large workspace's backlog does not delay a small one") {
+  // The single request of a small workspace is served second although 100
+  // requests of a large one were queued before it.
   FairQueue queue(1000);
   for (uint64_t id = 1; id <= 100; ++id) {
     REQUIRE(queue.Push({id, "large", 1, 10, kStart + Seconds(60)}, kStart));
@@ -207,7 +211,7 @@
   CHECK(queue.Pop(kStart)->id == 999);
 }
 
-TEST_CASE("property: waiting workspaces are served by their weights") {
+TEST_CASE("property: queued workspaces are served by their weights") {
   REQUIRE(rc::check("fair", [] {
     const int heavy = *rc::gen::inRange(1, 8);
     FairQueue queue(100000);
@@ -227,7 +231,8 @@
 }
 
 TEST_CASE("a request that would wait past its deadline is refused at once") {
-  // The caller learns now that it should go elsewhere, not after its deadline.
+  // Otherwise the caller would learn only after its deadline that it should try
+  // elsewhere.
   FairQueue queue(1000);
   TimePoint now = kStart;
   for (uint64_t id = 0; id < 60; ++id) {
@@ -241,7 +246,7 @@
   CHECK(queue.Push({91, "w", 1, 1, now + Seconds(60)}, now));
 }
 
-TEST_CASE("a refusal says when a token will be there") {
+TEST_CASE("a refusal names the time until the next token") {
   Resources resources;
   resources.workspaces["w"] = {"w", "", 1, {{"s", 2}}};
   AdmissionLimits limits;
--- a/tests/backpressure_test.cc
+++ b/tests/backpressure_test.cc
@@ -14,7 +14,7 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("parts of a limit add up to the limit") {
+TEST_CASE("shares of a limit add up to the limit") {
   CHECK(rc::check([] {
     const auto hosts = HostNames(*rc::gen::inRange<size_t>(1, 400));
     const double limit = *rc::gen::inRange(2, 2000) / 10.0;
@@ -31,101 +31,104 @@
   }));
 }
 
-TEST_CASE("a server that takes nothing is still asked now and then") {
+TEST_CASE("a server with a limit of 0 still gets occasional requests") {
   const std::vector<std::string> alone{"e0"};
   CHECK(ShareOfLimit(0, "s", "e0", alone).per_second > 0);
 }
 
-/// Says that `server` named `limit` in an answer to a request sent at `sent`.
-LimitReading Named(std::optional<double> limit, TimePoint sent) {
+/// An answer of server "s" that names `limit`, to a request sent at `sent`.
+LimitObservation ObserveLimit(std::optional<double> limit, TimePoint sent) {
   return {{"s", 0}, limit, sent};
 }
 
-TEST_CASE("an answer that was overtaken does not lift a limit") {
+TEST_CASE("an answer that arrives out of order does not remove a limit") {
   LimitLedger ledger({}, 0);
-  CHECK(ledger.OnAnswer(Named(2, kStart), kStart + Seconds(1)));
-  CHECK_FALSE(ledger.OnAnswer(Named({}, kStart), kStart + Seconds(2)));
+  CHECK(ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1)));
+  CHECK_FALSE(ledger.OnAnswer(ObserveLimit({}, kStart), kStart + Seconds(2)));
   CHECK(ledger.LimitOf({"s", 0}) == 2);
-  CHECK(ledger.OnAnswer(Named({}, kStart + Milliseconds(1500)),
+  CHECK(ledger.OnAnswer(ObserveLimit({}, kStart + Milliseconds(1500)),
                         kStart + Seconds(3)));
   CHECK_FALSE(ledger.LimitOf({"s", 0}).has_value());
 }
 
-TEST_CASE("a server that starts again under its name has no limit") {
+TEST_CASE("a restarted server has no limit") {
   LimitLedger ledger({}, 0);
   ledger.OnAnswer({{"s", 1}, 2, kStart}, kStart);
   CHECK(ledger.LimitOf({"s", 1}).has_value());
   CHECK_FALSE(ledger.LimitOf({"s", 2}).has_value());
 }
 
-/// Passes on what `to` lacks of `from`, `age` older.
-void Tell(const LimitLedger& from,
-          LimitLedger& to,
-          TimePoint now,
-          uint64_t known = 0) {
-  for (const LimitWord& word : from.Since(known, now).words) {
-    to.OnNews(word, now);
+/// Sends `to` the records of `from` that are newer than revision `known`.
+void SendUpdate(const LimitLedger& from,
+                LimitLedger& to,
+                TimePoint now,
+                uint64_t known = 0) {
+  for (const LimitRecord& record : from.Since(known, now).words) {
+    to.OnPeerUpdate(record, now);
   }
 }
 
-TEST_CASE("late news of a limit does not bring it back") {
+TEST_CASE("a delayed record of a limit does not restore it") {
   LimitLedger first({}, 0);
   LimitLedger second({}, 0);
   LimitLedger third({}, 0);
-  first.OnAnswer(Named(2, kStart), kStart);
-  Tell(first, second, kStart + Milliseconds(100));
-  Tell(second, third, kStart + Milliseconds(200));
-  first.OnAnswer(Named({}, kStart + Seconds(1)), kStart + Seconds(1));
-  Tell(first, third, kStart + Seconds(2));
-  Tell(second, third, kStart + Seconds(2));
+  first.OnAnswer(ObserveLimit(2, kStart), kStart);
+  SendUpdate(first, second, kStart + Milliseconds(100));
+  SendUpdate(second, third, kStart + Milliseconds(200));
+  first.OnAnswer(ObserveLimit({}, kStart + Seconds(1)), kStart + Seconds(1));
+  SendUpdate(first, third, kStart + Seconds(2));
+  SendUpdate(second, third, kStart + Seconds(2));
   CHECK_FALSE(third.LimitOf({"s", 0}).has_value());
-  Tell(third, second, kStart + Seconds(3));
+  SendUpdate(third, second, kStart + Seconds(3));
   CHECK_FALSE(second.LimitOf({"s", 0}).has_value());
 }
 
-TEST_CASE("a host that knows all words is told none") {
+TEST_CASE("a host that has all records is sent none") {
   LimitLedger ledger({}, 500);
-  ledger.OnAnswer(Named(2, kStart), kStart);
-  const LimitNews news = ledger.Since(0, kStart);
-  CHECK(news.words.size() == 1);
-  CHECK(ledger.Since(news.revision, kStart).words.empty());
-  ledger.OnAnswer(Named(2, kStart), kStart + Seconds(1));
-  CHECK(ledger.Since(news.revision, kStart).words.empty());
-  // Told by an earlier process of the host.
+  ledger.OnAnswer(ObserveLimit(2, kStart), kStart);
+  const LimitUpdate update = ledger.Since(0, kStart);
+  CHECK(update.words.size() == 1);
+  CHECK(ledger.Since(update.revision, kStart).words.empty());
+  ledger.OnAnswer(ObserveLimit(2, kStart), kStart + Seconds(1));
+  CHECK(ledger.Since(update.revision, kStart).words.empty());
+  // A revision of an earlier process of the host.
   CHECK(ledger.Since(9000, kStart).words.size() == 1);
 }
 
-TEST_CASE("a limit that lasts is told again, and passed on once") {
+TEST_CASE("a lasting limit is advertised again, and forwarded once") {
   const LimitPolicy policy;
   LimitLedger first(policy, 0);
   LimitLedger second(policy, 0);
-  first.OnAnswer(Named(2, kStart), kStart);
-  Tell(first, second, kStart);
-  const TimePoint later = kStart + policy.limit_life - Seconds(1);
+  first.OnAnswer(ObserveLimit(2, kStart), kStart);
+  SendUpdate(first, second, kStart);
+  const TimePoint later = kStart + policy.limit_ttl - Seconds(1);
   const uint64_t known = first.revision();
-  first.OnAnswer(Named(2, later), later);
+  first.OnAnswer(ObserveLimit(2, later), later);
   CHECK(first.revision() > known);
-  Tell(first, second, later + Milliseconds(100));
+  SendUpdate(first, second, later + Milliseconds(100));
   const uint64_t passed_on = second.revision();
-  Tell(second, first, later + Milliseconds(200));
-  Tell(first, second, later + Milliseconds(300));
+  SendUpdate(second, first, later + Milliseconds(200));
+  SendUpdate(first, second, later + Milliseconds(300));
   CHECK(second.revision() == passed_on);
-  second.ForgetOld(kStart + policy.limit_life + Seconds(1));
+  second.ForgetOld(kStart + policy.limit_ttl + Seconds(1));
   CHECK(second.LimitOf({"s", 0}).has_value());
 }
 
-/// A fleet of entry hosts that send to servers of one model, each request to
-/// the emptiest of three that may be sent to. News takes a while to all hosts.
+/// Simulates a fleet of entry hosts that send to servers of one model, each
+/// request to the least loaded of three eligible servers. Limits reach the
+/// other hosts with a delay.
 class Replay {
  public:
   struct Load {
     size_t hosts = 6;
     size_t servers = 12;
     double requests_per_second = 60;
-    /// Servers that name a limit, and which.
+    /// Number of servers that name a limit, and the limit in requests per
+    /// second.
     size_t limited = 2;
     double limit = 2;
-    Duration news = Milliseconds(400);
+    /// Delay until a limit reaches the other hosts.
+    Duration update_delay = Milliseconds(400);
   };
 
   explicit Replay(const Load& load) : m_load(load), m_arrivals(load.servers) {
@@ -137,42 +140,44 @@
     m_open.resize(load.servers, 0);
   }
 
-  /// Runs from `begin` to `end` after the start, with limits named or not.
+  /// Runs from `begin` to `end` after the start. `names_limit`: whether the
+  /// limited servers name their limit.
   void Run(Duration begin, Duration end, bool names_limit) {
     std::exponential_distribution<double> gap(m_load.requests_per_second);
     for (TimePoint now = kStart + begin; now < kStart + end;
          now += FromSeconds(gap(m_random))) {
       Deliver(now);
-      Ask(now, names_limit);
+      PlaceRequest(now, names_limit);
     }
   }
 
-  /// The host's process starts again and knows nothing; it has the words of
-  /// another host a round of news later.
+  /// Restarts the host without any state. It receives the records of another
+  /// host after one update delay.
   void Restart(size_t index, TimePoint now) {
     const auto names = HostNames(m_load.hosts);
     m_hosts[index] = Backpressure(names[index], {}, ++m_starts * 1000);
     m_hosts[index].SetFleet(names, now);
-    std::erase_if(
-        m_told, [index](const auto& row) { return row.first.first == index; });
+    std::erase_if(m_first_reported, [index](const auto& row) {
+      return row.first.first == index;
+    });
     const size_t other = (index + 1) % m_hosts.size();
-    for (const LimitWord& word : m_hosts[other].Since(0, now).words) {
-      m_news.push_back({now + m_load.news, word});
+    for (const LimitRecord& record : m_hosts[other].Since(0, now).words) {
+      m_gossip.push_back({now + m_load.update_delay, record});
     }
   }
 
-  /// Which arrivals count: all, or those of hosts that had passed on the limit
-  /// half a second before or earlier.
-  enum class Counted { kAll, kTold };
-  /// The most that came to a limited server in any four seconds from `from` on.
-  size_t MostArrivals(Duration from, Counted counted) const {
+  /// Which arrivals count: all, or only those from hosts that had received the
+  /// limit of the server at least 500 ms before.
+  enum class Counted { kAll, kReported };
+  /// Maximum number of arrivals at a limited server in any 4 s after `from`.
+  size_t MaxArrivals(Duration from, Counted counted) const {
     size_t most = 0;
     for (size_t server = 0; server < m_load.limited; ++server) {
       std::deque<TimePoint> window;
       for (const Arrival& arrival : m_arrivals[server]) {
         const TimePoint at = arrival.at;
         if (at < kStart + from ||
-            (counted == Counted::kTold && !arrival.told)) {
+            (counted == Counted::kReported && !arrival.reported)) {
           continue;
         }
         window.push_back(at);
@@ -199,29 +204,29 @@
   std::vector<Backpressure>& hosts() { return m_hosts; }
 
  private:
-  static constexpr Duration kToldBefore = Milliseconds(500);
+  static constexpr Duration kReportedBefore = Milliseconds(500);
 
-  struct News {
+  struct PendingUpdate {
     TimePoint at;
-    LimitWord word;
+    LimitRecord record;
   };
   struct Arrival {
     TimePoint at;
-    bool told = false;
+    bool reported = false;
   };
 
-  ServerLife Life(size_t server) const {
+  ServerInstance InstanceAt(size_t server) const {
     return {"s" + std::to_string(server), 0};
   }
 
   void Deliver(TimePoint now) {
-    while (!m_news.empty() && m_news.front().at <= now) {
-      LimitWord word = m_news.front().word;
-      word.age = m_load.news;
+    while (!m_gossip.empty() && m_gossip.front().at <= now) {
+      LimitRecord record = m_gossip.front().record;
+      record.age = m_load.update_delay;
       for (Backpressure& host : m_hosts) {
-        host.OnNews(word, now);
+        host.OnPeerUpdate(record, now);
       }
-      m_news.pop_front();
+      m_gossip.pop_front();
     }
     while (!m_ends.empty() && m_ends.front().first <= now) {
       --m_open[m_ends.front().second];
@@ -229,39 +234,41 @@
     }
   }
 
-  void Ask(TimePoint now, bool names_limit) {
+  void PlaceRequest(TimePoint now, bool names_limit) {
     const size_t index = m_random() % m_hosts.size();
     Backpressure& host = m_hosts[index];
-    std::vector<size_t> able;
+    std::vector<size_t> eligible;
     const size_t start = m_random() % m_load.servers;
-    for (size_t i = 0; i < m_load.servers && able.size() < 3; ++i) {
+    for (size_t i = 0; i < m_load.servers && eligible.size() < 3; ++i) {
       const size_t server = (start + i) % m_load.servers;
-      if (host.MaySend(Life(server), now)) {
-        able.push_back(server);
+      if (host.MaySend(InstanceAt(server), now)) {
+        eligible.push_back(server);
       }
     }
-    if (able.empty()) {
+    if (eligible.empty()) {
       ++m_refused;
       return;
     }
     const size_t chosen = *std::min_element(
-        able.begin(), able.end(), [this](size_t left, size_t right) {
+        eligible.begin(), eligible.end(), [this](size_t left, size_t right) {
           return m_open[left] < m_open[right];
         });
-    host.OnSent(Life(chosen), now);
-    const auto told = m_told.find({index, chosen});
+    host.OnSent(InstanceAt(chosen), now);
+    const auto reported = m_first_reported.find({index, chosen});
     m_arrivals[chosen].push_back(
-        {now, told != m_told.end() && now - told->second >= kToldBefore});
+        {now, reported != m_first_reported.end() &&
+                  now - reported->second >= kReportedBefore});
     ++m_open[chosen];
     m_ends.push_back({now + Seconds(1), chosen});
-    LimitReading reading{Life(chosen), {}, now};
+    LimitObservation observation{InstanceAt(chosen), {}, now};
     if (names_limit && chosen < m_load.limited) {
-      reading.limit = m_load.limit;
-      m_told.try_emplace({index, chosen}, now);
+      observation.limit = m_load.limit;
+      m_first_reported.try_emplace({index, chosen}, now);
     }
-    if (host.OnAnswer(reading, now + Milliseconds(1))) {
-      m_news.push_back(
-          {now + m_load.news, {reading.server, reading.limit, Duration(0)}});
+    if (host.OnAnswer(observation, now + Milliseconds(1))) {
+      m_gossip.push_back(
+          {now + m_load.update_delay,
+           {observation.server, observation.limit, Duration(0)}});
     }
   }
 
@@ -269,21 +276,21 @@
   std::mt19937_64 m_random{7};
   std::vector<Backpressure> m_hosts;
   std::vector<std::vector<Arrival>> m_arrivals;
-  /// When each host first passed on an answer with the limit of each server.
-  std::map<std::pair<size_t, size_t>, TimePoint> m_told;
+  /// When each host first received an answer with the limit of each server.
+  std::map<std::pair<size_t, size_t>, TimePoint> m_first_reported;
   std::vector<int> m_open;
-  std::deque<News> m_news;
+  std::deque<PendingUpdate> m_gossip;
   std::deque<std::pair<TimePoint, size_t>> m_ends;
   size_t m_refused = 0;
   uint64_t m_starts = 0;
 };
 
-/// What the platform allows of a limit in four seconds.
-size_t MostInWindow(double limit) {
+/// Maximum number of requests that the platform accepts in 4 s at a limit.
+size_t MaxInWindow(double limit) {
   return static_cast<size_t>(1.5 * limit * 4 + 5);
 }
 
-TEST_CASE("a limited server is the emptiest, and gets no more than it takes") {
+TEST_CASE("a limited server is the least loaded, and its limit holds") {
   for (const size_t hosts : {1, 2, 6, 40, 195}) {
     for (const double limit : {0.3, 1.7, 6.0}) {
       Replay::Load load;
@@ -295,8 +302,8 @@
       replay.Run(Seconds(8), Seconds(40), true);
       CAPTURE(hosts);
       CAPTURE(limit);
-      CHECK(replay.MostArrivals(Seconds(11), Replay::Counted::kAll) <=
-            MostInWindow(limit));
+      CHECK(replay.MaxArrivals(Seconds(11), Replay::Counted::kAll) <=
+            MaxInWindow(limit));
       CHECK(replay.refused() == 0);
     }
   }
@@ -318,15 +325,15 @@
       }
       CAPTURE(hosts);
       CAPTURE(limit);
-      CHECK(replay.MostArrivals(Seconds(11), Replay::Counted::kTold) <=
-            MostInWindow(limit));
+      CHECK(replay.MaxArrivals(Seconds(11), Replay::Counted::kReported) <=
+            MaxInWindow(limit));
     }
   }
 }
 
-TEST_CASE("where all servers name a limit, most of it is used") {
-  // Callers that are refused while servers would take them are refused for
-  // nothing.
+TEST_CASE("if all servers name a limit, most of it is used") {
+  // Guards against refusing callers while the limits of the servers are not
+  // used up.
   for (const size_t hosts : {6, 40}) {
     Replay::Load load;
     load.hosts = hosts;
@@ -344,7 +351,7 @@
   }
 }
 
-TEST_CASE("after the end of a limit the server gets its part again") {
+TEST_CASE("after the end of a limit the server gets its usual load again") {
   Replay::Load load;
   Replay replay(load);
   replay.Run(Duration(0), Seconds(20), true);
@@ -354,17 +361,17 @@
         expected * 0.8);
 }
 
-TEST_CASE("a host that does not hear the others does not take their parts") {
+TEST_CASE("a host that hears no others does not take their shares") {
   Replay::Load load;
   Replay replay(load);
   replay.Run(Duration(0), Seconds(2), true);
-  Backpressure& deaf = replay.hosts().front();
-  deaf.SetFleet({}, kStart + Seconds(5));
+  Backpressure& isolated = replay.hosts().front();
+  isolated.SetFleet({}, kStart + Seconds(5));
   double rate = 0;
   for (TimePoint now = kStart + Seconds(5); now < kStart + Seconds(9);
        now += Milliseconds(10)) {
-    if (deaf.MaySend({"s0", 0}, now)) {
-      deaf.OnSent({"s0", 0}, now);
+    if (isolated.MaySend({"s0", 0}, now)) {
+      isolated.OnSent({"s0", 0}, now);
       rate += 0.25;
     }
   }
@@ -373,34 +380,34 @@
 
 TEST_CASE("a server that asked for rest gets nothing until it is over") {
   Backpressure host("e0", {}, 0);
-  const ServerLife server{"s", 0};
+  const ServerInstance server{"s", 0};
   CHECK(host.IsIdle());
-  host.OnRest(server, Seconds(3), kStart);
+  host.OnBackoff(server, Seconds(3), kStart);
   CHECK_FALSE(host.IsIdle());
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2999)));
   CHECK(host.UntilSend(server, kStart + Seconds(1)) == Seconds(2));
   CHECK(host.MaySend(server, kStart + Seconds(3)));
-  // A shorter one that comes later does not end the longer one.
-  host.OnRest(server, Seconds(1), kStart + Seconds(1));
+  // A later, shorter back-off does not end a longer one.
+  host.OnBackoff(server, Seconds(1), kStart + Seconds(1));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
-  // An answer without a limit is no sign that the rest is over.
-  host.OnAnswer(Named({}, kStart + Seconds(1)), kStart + Seconds(2));
+  // An answer without a limit does not end the back-off.
+  host.OnAnswer(ObserveLimit({}, kStart + Seconds(1)), kStart + Seconds(2));
   CHECK_FALSE(host.MaySend(server, kStart + Milliseconds(2500)));
   host.SetFleet({}, kStart + Seconds(4));
   CHECK(host.IsIdle());
 }
 
-TEST_CASE("rest and a limit both hold") {
+TEST_CASE("a back-off and a limit both apply") {
   Backpressure host("e0", {}, 0);
-  const ServerLife server{"s", 0};
-  host.OnAnswer(Named(1, kStart), kStart);
-  host.OnRest(server, Milliseconds(200), kStart);
+  const ServerInstance server{"s", 0};
+  host.OnAnswer(ObserveLimit(1, kStart), kStart);
+  host.OnBackoff(server, Milliseconds(200), kStart);
   CHECK(host.UntilSend(server, kStart) == Seconds(1));
-  host.OnRest(server, Seconds(5), kStart);
+  host.OnBackoff(server, Seconds(5), kStart);
   CHECK(host.UntilSend(server, kStart) == Seconds(5));
 }
 
-TEST_CASE("a server that leaves gets nothing more, and its next process does") {
+TEST_CASE("a server that shuts down gets no requests, a new process does") {
   Backpressure host("e0", {}, 0);
   CHECK(host.OnLeaving({"s", 1}, kStart));
   CHECK_FALSE(host.OnLeaving({"s", 1}, kStart + Seconds(1)));
--- a/tests/dispatch_fixture.h
+++ b/tests/dispatch_fixture.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// A board over targets of one model, for tests of the choice among them.
+/// A TargetSelector with targets of one model, for the tests of dispatch.
 
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "filbertrack/dispatch_board.h"
+#include "filbertrack/dispatch_selector.h"
 
 namespace filbertrack {
 
@@ -54,35 +54,37 @@
   query.service = "llm";
   query.model = "m";
   query.prompt_tokens = prompt_tokens;
-  query.time_to_aim = Milliseconds(300);
+  query.time_to_slo = Milliseconds(300);
   query.time_left = Seconds(6);
   return query;
 }
 
-/// Looks at every target, for cases about the choice among them.
+/// Compares all targets, for tests that expect a certain choice.
 inline DispatchPolicy LookAtAll() {
   DispatchPolicy policy;
   policy.candidates = 100;
   return policy;
 }
 
-struct Board {
-  explicit Board(int targets, DispatchPolicy policy = LookAtAll())
-      : board(policy, 1) {
-    board.SetTargets(MakeTargets(targets, "m"), MakeCatalog(), kStart);
+struct SelectorFixture {
+  explicit SelectorFixture(int targets, DispatchPolicy policy = LookAtAll())
+      : selector(policy, 1) {
+    selector.SetTargets(MakeTargets(targets, "m"), MakeCatalog(), kStart);
   }
 
+  /// Chooses a target and records the request as sent. Returns the id of the
+  /// target; empty if the request was refused.
   std::string Place(const DispatchQuery& query, TimePoint now = kStart) {
-    const auto decision = board.Choose(query, now);
+    const auto decision = selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
     if (choice == nullptr) {
       return "";
     }
-    board.OnSent(choice->target.id, query.prompt_tokens);
+    selector.OnSent(choice->target.id, query.prompt_tokens);
     return choice->target.id;
   }
 
-  DispatchBoard board;
+  TargetSelector selector;
 };
 
 }  // namespace filbertrack
--- a/tests/exchange_test.cc
+++ b/tests/exchange_test.cc
@@ -10,7 +10,7 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-/// One entry host at the interface of the exchange, with a clock of its own.
+/// An entry host as the exchange sees it, with its own clock offset.
 struct Node {
   explicit Node(const std::string& name, Duration clock_offset = Duration(0))
       : offset(clock_offset),
@@ -26,25 +26,29 @@
   EntitlementParts parts;
 };
 
-/// `asker` asks `answerer`; the question and the answer travel for so long.
-ExchangeEffect Exchange(Node& asker,
-                        Node& answerer,
+/// Sends a request from `requester` to `replier` and applies the reply. The
+/// messages take `there` and `back`.
+ExchangeEffect Exchange(Node& requester,
+                        Node& replier,
                         TimePoint& true_now,
                         Duration there = Milliseconds(1),
                         Duration back = Milliseconds(1),
                         std::vector<std::string> wanted = {}) {
-  ExchangeState asking = asker.State();
-  ExchangeState answering = answerer.State();
-  const TimePoint asked_at = asker.Clock(true_now);
-  const ExchangeAsk ask =
-      MakeAsk(asking, answerer.table.self().node, std::move(wanted), asked_at);
+  ExchangeState requester_state = requester.State();
+  ExchangeState replier_state = replier.State();
+  const TimePoint asked_at = requester.Clock(true_now);
+  const ExchangeRequest request = MakeExchangeRequest(
+      requester_state, replier.table.self().node, std::move(wanted), asked_at);
   true_now += there;
-  const auto decoded_ask = DecodePeerMessage(EncodePeerMessage(ask)).value();
-  const ExchangeAnswer answer = AnswerAsk(
-      answering, std::get<ExchangeAsk>(decoded_ask), answerer.Clock(true_now));
+  const auto decoded_request =
+      DecodePeerMessage(EncodePeerMessage(request)).value();
+  const ExchangeReply reply = MakeExchangeReply(
+      replier_state, std::get<ExchangeRequest>(decoded_request),
+      replier.Clock(true_now));
   true_now += back;
-  const auto decoded = DecodePeerMessage(EncodePeerMessage(answer)).value();
-  return ApplyAnswer(asking, ask, std::get<ExchangeAnswer>(decoded), asked_at);
+  const auto decoded = DecodePeerMessage(EncodePeerMessage(reply)).value();
+  return ApplyExchangeReply(requester_state, request,
+                            std::get<ExchangeReply>(decoded), asked_at);
 }
 
 const char kHosts[] =
@@ -52,7 +56,7 @@
       {"name":"h1","address":"127.0.0.1:1","accelerators":8,"state":"live"},
       {"name":"h2","address":"127.0.0.1:2","accelerators":8,"state":"live"}]})";
 
-void GiveGroup(Node& node, TimePoint now) {
+void AddGroup(Node& node, TimePoint now) {
   DomainState state;
   state.lease = {"c", 1};
   state.groups.push_back({"d/1",
@@ -69,7 +73,9 @@
   node.fleet.ReadDomains(node.cache, now);
 }
 
-void HearMember(Node& node, const std::string& host, TimePoint true_now) {
+void AddMemberEvidence(Node& node,
+                       const std::string& host,
+                       TimePoint true_now) {
   MemberReport report;
   report.host = host;
   report.incarnation = "i";
@@ -78,17 +84,18 @@
   report.phase = MemberPhase::kReady;
   MemberEvidence evidence;
   evidence.OnConnect(node.Clock(true_now));
-  evidence.OnBeat({0, report}, node.Clock(true_now));
+  evidence.OnHeartbeatLine({0, report}, node.Clock(true_now));
   node.fleet.OnMember(host, evidence, node.Clock(true_now));
 }
 
 TEST_CASE("objects reach a host that does not watch the store") {
-  // The caller is refused by no host: the second one learns the group from the
-  // first, in two questions, while the store is not asked.
+  // Guards against hosts that refuse requests for groups they do not know. The
+  // second host gets the group from the first in two requests, without the
+  // store.
   Node watcher("a");
   Node other("b", Seconds(500));
   TimePoint now = kStart;
-  GiveGroup(watcher, now);
+  AddGroup(watcher, now);
   const ExchangeEffect first = Exchange(other, watcher, now);
   CHECK(first.wanted.size() == 2);
   const ExchangeEffect second = Exchange(other, watcher, now, Milliseconds(1),
@@ -97,50 +104,50 @@
   CHECK(other.cache.Digest() == watcher.cache.Digest());
 }
 
-TEST_CASE(
-    "property: evidence never looks younger than it is, however it travels") {
-  // A caller would get an answer of half a group. Clocks of any offset, three
-  // hosts in a row, questions and answers that wait for any time on the way.
+TEST_CASE("property: evidence never appears fresher than it is on any path") {
+  // Guards against sending a request to a group that lost a member. Evidence
+  // passes three hosts with arbitrary clock offsets and message delays.
   REQUIRE(rc::check("ages", [] {
     std::vector<Node> nodes;
     for (int i = 0; i < 3; ++i) {
       nodes.emplace_back("n" + std::to_string(i),
                          Milliseconds(*rc::gen::inRange(0, 1000000)));
-      GiveGroup(nodes.back(), nodes.back().Clock(kStart));
+      AddGroup(nodes.back(), nodes.back().Clock(kStart));
     }
     TimePoint now = kStart;
-    TimePoint truly_whole = kStart;
+    TimePoint last_whole = kStart;
     for (int i = 0; i < 40; ++i) {
       now += Milliseconds(*rc::gen::inRange(0, 300));
-      const auto asker = *rc::gen::inRange<size_t>(0, 3);
-      if (asker == 0) {
-        HearMember(nodes[0], "h1", now);
-        HearMember(nodes[0], "h2", now);
-        truly_whole = now;
+      const auto requester = *rc::gen::inRange<size_t>(0, 3);
+      if (requester == 0) {
+        AddMemberEvidence(nodes[0], "h1", now);
+        AddMemberEvidence(nodes[0], "h2", now);
+        last_whole = now;
       } else {
-        Exchange(nodes[asker], nodes[asker - 1], now,
+        Exchange(nodes[requester], nodes[requester - 1], now,
                  Milliseconds(*rc::gen::inRange(0, 2000)),
                  Milliseconds(*rc::gen::inRange(0, 2000)));
       }
       for (Node& node : nodes) {
         const auto* candidate = node.fleet.FindCandidate("d/1");
         if (candidate != nullptr && candidate->target.whole_at) {
-          RC_ASSERT(*candidate->target.whole_at <= node.Clock(truly_whole));
+          RC_ASSERT(*candidate->target.whole_at <= node.Clock(last_whole));
         }
       }
     }
   }));
 }
 
-TEST_CASE("the word of a missing member travels and wins over older evidence") {
-  // Requests leave the group at once on hosts that do not watch it.
+TEST_CASE("a missing member is propagated and overrides older evidence") {
+  // Guards against hosts that do not watch a group and keep sending to it after
+  // it lost a member.
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
-  GiveGroup(monitor, now);
-  GiveGroup(router, now);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddGroup(monitor, now);
+  AddGroup(router, now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   REQUIRE(router.fleet.FindCandidate("d/1")->target.whole_at);
   now += Milliseconds(100);
@@ -149,38 +156,38 @@
   const ExchangeEffect effect = Exchange(router, monitor, now);
   CHECK(effect.groups == std::vector<std::string>{"d/1"});
   CHECK(!router.fleet.FindCandidate("d/1")->target.whole_at);
-  // Another monitor's older word, which took a longer way, changes nothing.
+  // Older evidence of another monitor, delayed on its path, is ignored.
   CHECK(!router.fleet.OnGroupEvidence("d/1", 1, true, kStart, 0));
   CHECK(!router.fleet.FindCandidate("d/1")->target.whole_at);
 }
 
-TEST_CASE("a host that does not watch a group learns its size from answers") {
-  // Callers of that host would wait for one another: it took the group for one
-  // that answers one request at a time, since evidence tells of life alone.
+TEST_CASE("a host that does not watch a group gets its slots from answers") {
+  // Group evidence does not carry the number of slots. Without it the host
+  // assumes that the group runs one request at a time, and its callers queue.
   Node monitor("a");
   Node router("b");
   TimePoint now = kStart;
-  GiveGroup(monitor, now);
-  GiveGroup(router, now);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddGroup(monitor, now);
+  AddGroup(router, now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   const auto load = ParseAnswerLoad("[3,1,16,30000]");
   REQUIRE(load);
   router.fleet.OnAnswerLoad("d/1", *load, now);
   CHECK(router.fleet.FindCandidate("d/1")->load.slots == 16);
   now += Milliseconds(500);
-  HearMember(monitor, "h1", now);
-  HearMember(monitor, "h2", now);
+  AddMemberEvidence(monitor, "h1", now);
+  AddMemberEvidence(monitor, "h2", now);
   Exchange(router, monitor, now);
   CHECK(router.fleet.FindCandidate("d/1")->load.slots == 16);
   CHECK(!ParseAnswerLoad("[3,1]"));
   CHECK(!ParseAnswerLoad("many"));
 }
 
-TEST_CASE("a question makes its sender known, and not live") {
-  // Entitlements would be divided with a host that is gone: its question waited
-  // in a socket while it died.
+TEST_CASE("a request makes its sender known but not live") {
+  // Guards against dividing entitlements with a dead host whose last request
+  // was still waiting in a socket when it ended.
   Node a("a");
   Node b("b");
   TimePoint now = kStart;
@@ -190,7 +197,7 @@
   CHECK(a.table.Live(now) == std::vector<std::string>{"a", "b"});
 }
 
-TEST_CASE("an old process of the same name is told apart") {
+TEST_CASE("states of an older process with the same name are ignored") {
   PeerTable table({"a", 1, {}, "dc", false, 0, 0}, PeerPolicy());
   table.Learn({"b", 7, {}, "dc", false, 9, 0}, kStart);
   table.Learn({"b", 6, {}, "dc", false, 99, 0}, kStart + Seconds(1));
@@ -199,7 +206,7 @@
   CHECK(table.records().at("b").state.generation == 1);
 }
 
-TEST_CASE("property: news reach everybody although each asks only two others") {
+TEST_CASE("property: updates reach all hosts although each asks only two") {
   REQUIRE(rc::check("ring", [] {
     const auto size = *rc::gen::inRange<size_t>(2, 30);
     std::vector<Node> nodes;
@@ -231,14 +238,14 @@
   }));
 }
 
-TEST_CASE("property: no bytes of a peer crash the reading of its message") {
+TEST_CASE("property: decoding a damaged message does not crash") {
   REQUIRE(rc::check("bytes", [] {
-    ExchangeAnswer answer;
-    answer.from = {"a", 3, {"127.0.0.1", 9}, "dc", false, 4, 5};
-    answer.inventory = {{"k", 3}};
-    answer.peers = {{answer.from, Seconds(1)}};
-    answer.evidence = {{"d/1", 4, true, Milliseconds(20), 3}};
-    std::string bytes = EncodePeerMessage(answer);
+    ExchangeReply reply;
+    reply.from = {"a", 3, {"127.0.0.1", 9}, "dc", false, 4, 5};
+    reply.inventory = {{"k", 3}};
+    reply.peers = {{reply.from, Seconds(1)}};
+    reply.evidence = {{"d/1", 4, true, Milliseconds(20), 3}};
+    std::string bytes = EncodePeerMessage(reply);
     const int changes = *rc::gen::inRange(0, 4);
     for (int i = 0; i < changes; ++i) {
       bytes[*rc::gen::inRange<size_t>(0, bytes.size())] =
--- a/tests/news_burst_test.cc
+++ b/tests/gossip_burst_test.cc
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "fake_engine.h"
-#include "filbertrack/news_exchange.h"
-#include "filbertrack/news_fleet.h"
-#include "replay_news.h"
+#include "filbertrack/gossip_exchange.h"
+#include "filbertrack/gossip_fleet.h"
+#include "replay_gossip.h"
 
 namespace filbertrack {
 namespace {
@@ -25,9 +25,9 @@
 constexpr int kRelays = 2;
 constexpr double kPromptTokens = 714;
 constexpr int kAnswerTokens = 168;
-constexpr Duration kAim = Milliseconds(300);
+constexpr Duration kSlo = Milliseconds(300);
 constexpr Duration kStep = Milliseconds(10);
-/// Steps between two rounds of a host, in which it asks eight neighbours.
+/// Steps between two gossip rounds of a host, each with kNeighbours peers.
 constexpr int kRoundSteps = 15;
 constexpr int kNeighbours = 8;
 
@@ -40,16 +40,18 @@
   int on_time = 0;
   int late = 0;
   int refused = 0;
-  /// Believed less true requests at the chosen target, over all placings.
+  /// Sum of the differences between assumed and actual requests at the chosen
+  /// targets.
   double error = 0;
-  int placed = 0;
+  int sent = 0;
 
-  double MeanError() const { return error / placed; }
+  double MeanError() const { return error / sent; }
 };
 
-/// 81 entry hosts of three data centres and 36 groups of 20 places each. For
-/// four seconds callers send `burst` times 545 requests a second, of which the
-/// groups can answer some 600; before and after it, six tenths of that.
+/// Simulates 81 entry hosts in three data centres and 36 groups of 20 slots
+/// each. For four seconds callers send `burst` times 545 requests per second,
+/// before and after that 0.6 times 545. The groups can answer about 600 per
+/// second.
 class BurstReplay {
  public:
   BurstReplay(double burst, LoadExchangePolicy policy, DispatchPolicy dispatch)
@@ -67,7 +69,7 @@
     }
     for (int i = 0; i < kDataCentres * kHostsEach; ++i) {
       m_hosts.push_back(std::make_unique<Host>(i, policy, dispatch));
-      m_hosts.back()->board.SetTargets(targets, catalog, kStart);
+      m_hosts.back()->selector.SetTargets(targets, catalog, kStart);
     }
     for (FakeEngine& engine : m_engines) {
       engine.slots = kSlots;
@@ -94,17 +96,19 @@
         : name("h" + std::to_string(number)),
           data_centre(DataCentre(number)),
           is_relay(number < kRelays * kDataCentres),
-          board(dispatch, static_cast<uint64_t>(number)),
-          news(name, data_centre, {}),
+          selector(dispatch, static_cast<uint64_t>(number)),
+          gossip(name, data_centre, {}),
           exchange(policy) {}
 
-    NewsState Tell() const { return TellOwnLoads(name, data_centre, board); }
+    GossipState State() const {
+      return MakeLoadReport(name, data_centre, selector);
+    }
 
     std::string name;
     std::string data_centre;
     bool is_relay;
-    DispatchBoard board;
-    FleetNews news;
+    TargetSelector selector;
+    FleetGossip gossip;
     LoadExchange exchange;
     size_t next_peer = 0;
   };
@@ -143,35 +147,35 @@
     for (size_t i = 0; i < m_hosts.size(); ++i) {
       Host& host = *m_hosts[i];
       if (static_cast<int64_t>(i) % kRoundSteps == step % kRoundSteps) {
-        AskNear(host, now);
-        host.board.SetRemoteLoads(host.news.SumLoads(now).loads, 0, now);
+        AskLocalPeers(host, now);
+        host.selector.SetRemoteLoads(host.gossip.SumLoads(now).loads, 0, now);
       }
-      host.exchange.NotePressure(host.board.MostPressure(now));
+      host.exchange.UpdatePressure(host.selector.MaxPressure(now));
       const Duration interval =
           host.exchange.Interval(kHostsEach, kRelays, host.is_relay);
       if (host.exchange.TryBegin(interval, now)) {
-        AskRelays(host, now);
-        host.board.SetRemoteLoads(host.news.SumLoads(now).loads, 0, now);
+        ExchangeWithRelays(host, now);
+        host.selector.SetRemoteLoads(host.gossip.SumLoads(now).loads, 0, now);
       }
     }
   }
 
-  void AskNear(Host& host, TimePoint now) {
+  void AskLocalPeers(Host& host, TimePoint now) {
     for (int asked = 0; asked < kNeighbours;) {
       host.next_peer = (host.next_peer + 1) % m_hosts.size();
       Host& peer = *m_hosts[host.next_peer];
       if (&peer != &host && peer.data_centre == host.data_centre) {
-        peer.news.Note(host.Tell(), now);
-        host.news.Note(peer.Tell(), now);
+        peer.gossip.Note(host.State(), now);
+        host.gossip.Note(peer.State(), now);
         ++asked;
       }
     }
   }
 
-  void AskRelays(Host& host, TimePoint now) {
+  void ExchangeWithRelays(Host& host, TimePoint now) {
     if (host.is_relay) {
       for (int relay = 0; relay < kRelays * kDataCentres; ++relay) {
-        AskAsRelay(host, *m_hosts[static_cast<size_t>(relay)], now);
+        ExchangeAsRelay(host, *m_hosts[static_cast<size_t>(relay)], now);
       }
       return;
     }
@@ -179,33 +183,33 @@
     for (int relay = 0; relay < kRelays; ++relay) {
       relays.push_back(std::to_string(relay));
     }
-    const auto turn =
+    const auto relay_index =
         static_cast<size_t>(std::stoi(host.exchange.NextRelay(relays)));
     const auto dc = static_cast<size_t>(std::stoi(host.data_centre.substr(2)));
-    Host& relay = *m_hosts[turn * kDataCentres + dc];
-    relay.news.Note(host.Tell(), now);
-    NewsState answer = relay.Tell();
-    relay.news.PassOnFar(answer, now);
+    Host& relay = *m_hosts[relay_index * kDataCentres + dc];
+    relay.gossip.Note(host.State(), now);
+    GossipState reply = relay.State();
+    relay.gossip.AddRemoteLoads(reply, now);
     if (host.exchange.busy()) {
-      relay.news.PassOnNear(answer, host.name, now);
+      relay.gossip.AddLocalLoads(reply, host.name, now);
     }
-    host.news.Note(answer, now);
+    host.gossip.Note(reply, now);
   }
 
-  static void AskAsRelay(Host& host, Host& other, TimePoint now) {
+  static void ExchangeAsRelay(Host& host, Host& other, TimePoint now) {
     if (&other == &host) {
       return;
     }
-    NewsState ask = host.Tell();
-    NewsState answer = other.Tell();
+    GossipState request = host.State();
+    GossipState reply = other.State();
     if (host.data_centre != other.data_centre) {
-      host.news.CoverDataCentre(ask, now);
-      other.news.CoverDataCentre(answer, now);
+      host.gossip.CoverDataCentre(request, now);
+      other.gossip.CoverDataCentre(reply, now);
     } else if (!host.exchange.busy()) {
       return;
     }
-    other.news.Note(ask, now);
-    host.news.Note(answer, now);
+    other.gossip.Note(request, now);
+    host.gossip.Note(reply, now);
   }
 
   void Place(TimePoint now) {
@@ -215,11 +219,11 @@
     query.service = "llm";
     query.model = "m";
     query.prompt_tokens = kPromptTokens;
-    query.time_to_aim = kAim;
+    query.time_to_slo = kSlo;
     query.time_left = Seconds(6);
-    query.near_data_centre = host.data_centre;
+    query.local_data_centre = host.data_centre;
     ++m_result.offered;
-    const auto decision = host.board.Choose(query, now);
+    const auto decision = host.selector.Choose(query, now);
     const auto* choice = std::get_if<DispatchChoice>(&decision);
     if (choice == nullptr) {
       ++m_result.refused;
@@ -230,8 +234,8 @@
         m_engines[static_cast<size_t>(std::stoi(target.substr(1)))];
     m_result.error += choice->own_requests + choice->other_requests -
                       static_cast<double>(engine.size());
-    ++m_result.placed;
-    host.board.OnSent(target, kPromptTokens);
+    ++m_result.sent;
+    host.selector.OnSent(target, kPromptTokens);
     if (engine.size() == 0) {
       engine.next = std::max(engine.next, now);
     }
@@ -249,9 +253,9 @@
             },
             [this](const FakeEngine::Request& request, TimePoint at) {
               const Sent& sent = m_sent[request.number];
-              m_hosts[sent.host]->board.OnEnded(sent.target, kPromptTokens,
-                                                false,
-                                                DispatchResult::kAnswered, at);
+              m_hosts[sent.host]->selector.OnEnded(
+                  sent.target, kPromptTokens, false, DispatchResult::kAnswered,
+                  at);
             });
       }
     }
@@ -260,9 +264,9 @@
   void OnFirst(const FakeEngine::Request& request, TimePoint at) {
     const Sent& sent = m_sent[request.number];
     const Duration took = at - request.arrived;
-    m_hosts[sent.host]->board.OnFirstEvent(sent.target, kPromptTokens,
-                                           sent.predicted, took);
-    ++(took <= kAim ? m_result.on_time : m_result.late);
+    m_hosts[sent.host]->selector.OnFirstEvent(sent.target, kPromptTokens,
+                                              sent.predicted, took);
+    ++(took <= kSlo ? m_result.on_time : m_result.late);
   }
 
   double m_burst;
@@ -275,39 +279,39 @@
   std::exponential_distribution<double> m_gap{1};
 };
 
-/// Loads are exchanged as rarely under load as at rest.
+/// Returns a policy that exchanges loads as rarely under load as when idle.
 LoadExchangePolicy NeverBusy() {
   LoadExchangePolicy policy;
-  policy.busy_pressure = 1e9;
+  policy.loaded_pressure = 1e9;
   return policy;
 }
 
-TEST_CASE("a burst over all places: fresh loads keep late answers few") {
-  // Callers send a little more than all groups can answer. Each host sees a
-  // place or two where others have filled them since it last heard, lets in
-  // what has no place, and everybody waits behind it: answers are late that
-  // were predicted to be on time. Exchanged while it is busy, loads are true
-  // enough that what has no place is refused and the rest is on time.
+TEST_CASE("burst above capacity: fresh loads reduce late answers") {
+  // Callers send slightly more than all groups can answer. With outdated loads
+  // a host admits requests to slots that other hosts have filled meanwhile.
+  // These requests queue, and answers predicted to be on time are late. With
+  // frequent exchanges the excess requests are refused and the others are on
+  // time.
   const BurstResult rare = BurstReplay(1.25, NeverBusy(), {}).Run();
   const BurstResult often = BurstReplay(1.25, {}, {}).Run();
   for (const BurstResult& result : {rare, often}) {
     MESSAGE("of " << result.offered << ": on time " << result.on_time
                   << ", late " << result.late << ", refused " << result.refused
-                  << ", believed less true " << result.MeanError());
+                  << ", mean load error " << result.MeanError());
   }
   CHECK(std::abs(often.MeanError()) < std::abs(rare.MeanError()) * 2 / 3);
   CHECK(often.late < rare.late);
   CHECK(often.on_time > rare.on_time);
 }
 
-TEST_CASE("a burst over all places: who would be late is refused at once") {
-  // Callers send half as much again as all groups can answer. Let in up to
-  // twice their aim, they stand in queues that last as long as the burst, and
-  // every answer waits behind them. Refused, the few without a place hear so at
-  // once, and those who have one are on time.
-  DispatchPolicy patient;
-  patient.full_aim_slack = patient.aim_slack;
-  const BurstResult queued = BurstReplay(1.6, {}, patient).Run();
+TEST_CASE("burst above capacity: requests that would be late are refused") {
+  // Callers send half as much again as all groups can answer. If requests are
+  // admitted up to twice their time objective, the queues last as long
+  // as the burst and delay every answer. If they are refused at once, the
+  // admitted ones are on time.
+  DispatchPolicy tolerant;
+  tolerant.saturated_slo_factor = tolerant.slo_factor;
+  const BurstResult queued = BurstReplay(1.6, {}, tolerant).Run();
   const BurstResult refused = BurstReplay(1.6, {}, {}).Run();
   for (const BurstResult& result : {queued, refused}) {
     MESSAGE("of " << result.offered << ": on time " << result.on_time
@@ -316,7 +320,7 @@
   }
   CHECK(refused.on_time > queued.on_time);
   CHECK(refused.late < queued.late / 2);
-  // What is refused is what has no place, and not more.
+  // No more than the excess requests are refused.
   CHECK(refused.refused < refused.offered / 4);
 }
 
--- a/tests/groups_lease_test.cc
+++ b/tests/groups_lease_test.cc
@@ -10,7 +10,7 @@
 
 const TimePoint kStart{Seconds(1000)};
 
-/// The store's side of a lease: versions and conditional updates.
+/// The store's part of a lease: versions and conditional updates.
 struct FakeStore {
   std::map<std::string, uint64_t> heartbeat;
   uint64_t version = 0;
@@ -18,21 +18,20 @@
   uint64_t lease_version = 0;
 };
 
-/// One controller at the interface of the lease rules, with a clock of its own.
+/// One controller as seen by the lease rules, with its own clock.
 struct FakeController {
   std::string name;
   Duration clock_offset{0};
   LeaseKeeper keeper;
-  DomainHold hold;
+  DomainOwnership ownership;
   HolderView holder;
   uint64_t lease_version = 0;
   TimePoint lease_seen;
 };
 
-TEST_CASE(
-    "property: never two controllers that may act, one order life apart") {
-  // Pauses, lost answers and clocks of any offset; the store is the only thing
-  // shared.
+TEST_CASE("property: two controllers never act within one order TTL") {
+  // Guards against overlapping leases. Controllers are paused, answers are
+  // delayed and clocks differ by any offset; only the store is shared.
   REQUIRE(rc::check("lease", [] {
     const LeasePolicy policy;
     FakeStore store;
@@ -62,7 +61,7 @@
         case 1: {  // Read the lease and the holder's heartbeat.
           if (self.lease_version != store.lease_version) {
             self.lease_version = store.lease_version;
-            self.hold.lease = store.lease;
+            self.ownership.lease = store.lease;
             self.lease_seen = now();
           }
           ObserveHolder(self.holder, store.lease.holder,
@@ -70,17 +69,17 @@
           break;
         }
         case 2: {  // Take the domain if allowed; conditional on the version.
-          if (self.hold.lease.holder != self.name &&
+          if (self.ownership.lease.holder != self.name &&
               self.keeper.IsHeld(policy, now()) &&
-              MayTake(self.hold.lease, self.lease_seen, self.holder, policy,
-                      Duration(0), now())) {
+              MayAcquire(self.ownership.lease, self.lease_seen, self.holder,
+                         policy, Duration(0), now())) {
             const uint64_t term = self.keeper.term();
             true_now += paused ? Seconds(10) : Milliseconds(5);
             if (store.lease_version == self.lease_version) {
               store.lease = {self.name, store.lease.fence + 1};
               store.lease_version = ++store.version;
               self.lease_version = store.lease_version;
-              self.hold = {store.lease, term};
+              self.ownership = {store.lease, term};
               self.lease_seen = now();
             }
           }
@@ -91,12 +90,12 @@
       }
       for (FakeController& controller : controllers) {
         const TimePoint at = true_now + controller.clock_offset;
-        if (!MayAct(controller.hold, controller.name, controller.keeper, policy,
-                    at)) {
+        if (!MayAct(controller.ownership, controller.name, controller.keeper,
+                    policy, at)) {
           continue;
         }
         if (last_act && last_actor != controller.name) {
-          RC_ASSERT(true_now - *last_act >= policy.order_life);
+          RC_ASSERT(true_now - *last_act >= policy.order_ttl);
         }
         last_act = true_now;
         last_actor = controller.name;
@@ -106,31 +105,30 @@
 }
 
 TEST_CASE("a domain is taken only after the holder's last order has arrived") {
-  // An engine that ignores fencing numbers would get two masters. The holder
-  // sends its last order as its lease ends.
+  // Guards against an engine with two controllers. The old holder sends its
+  // last order as its lease ends, and the engine ignores fencing numbers.
   const LeasePolicy policy;
   const DomainLease lease{"old", 3};
   HolderView view;
   ObserveHolder(view, "old", 7, kStart);
   const TimePoint lease_end = kStart + policy.duration;
-  const TimePoint order_arrived = lease_end + policy.order_life;
+  const TimePoint order_arrived = lease_end + policy.order_ttl;
   ObserveHolder(view, "old", 7, order_arrived - Milliseconds(1));
-  CHECK(!MayTake(lease, kStart, view, policy, Duration(0),
-                 order_arrived - Milliseconds(1)));
+  CHECK(!MayAcquire(lease, kStart, view, policy, Duration(0),
+                    order_arrived - Milliseconds(1)));
   ObserveHolder(view, "old", 7, order_arrived);
-  CHECK(MayTake(lease, kStart, view, policy, Duration(0), order_arrived));
+  CHECK(MayAcquire(lease, kStart, view, policy, Duration(0), order_arrived));
 }
 
-TEST_CASE(
-    "an old reading of the heartbeat is no proof that the holder is gone") {
-  // Two controllers would order the same engines. The challenger read the
-  // heartbeat once and then heard nothing, as while the store is down; the
-  // holder may have renewed it since.
+TEST_CASE("an outdated heartbeat reading does not allow a takeover") {
+  // Guards against two controllers that order the same engines. The challenger
+  // read the heartbeat once and nothing after, for example because the store is
+  // down; the holder may have renewed it since.
   const LeasePolicy policy;
   HolderView view;
   ObserveHolder(view, "old", 7, kStart);
-  CHECK(!MayTake({"old", 3}, kStart, view, policy, Duration(0),
-                 kStart + Seconds(3600)));
+  CHECK(!MayAcquire({"old", 3}, kStart, view, policy, Duration(0),
+                    kStart + Seconds(3600)));
 }
 
 }  // namespace
--- a/tests/groups_test.cc
+++ b/tests/groups_test.cc
@@ -17,8 +17,8 @@
 const TimePoint kStart{Seconds(1000)};
 const PlanPolicy kPolicy;
 
-/// Engines of one domain, at the interface that the planner sees: they obey
-/// orders at once and report.
+/// Simulated engines of one domain, as seen by the planner: they execute orders
+/// at once and report.
 class FakeDomain {
  public:
   explicit FakeDomain(int hosts) {
@@ -53,21 +53,22 @@
     engine.report.incarnation += "+";
   }
 
-  /// A controller without memory, as a successor is.
+  /// Simulates a successor, which starts without observations.
   void ForgetViews() {
     m_views.clear();
     m_phase_since.clear();
   }
 
-  /// One pass: observe, plan, write, and obey. Returns the action written.
+  /// One pass: observe, plan, execute orders and store. Returns the action of
+  /// the stored change; empty if there is none.
   std::string Pass() {
     m_now += Milliseconds(500);
     for (auto& [host, engine] : m_engines) {
       MemberEvidence evidence;
       evidence.OnConnect(m_now);
-      BeatLine beat;
+      HeartbeatLine beat;
       beat.report = engine.report;
-      evidence.OnBeat(beat, m_now);
+      evidence.OnHeartbeatLine(beat, m_now);
       if (!engine.alive) {
         evidence.OnDisconnected();
       }
@@ -77,7 +78,7 @@
                           m_wanted, m_may_roll, m_phase_since};
     Plan plan = PlanDomain(input, kPolicy, m_now);
     for (const MemberOrder& order : plan.orders) {
-      Obey(order);
+      Execute(order);
     }
     if (!plan.change) {
       return "";
@@ -103,8 +104,7 @@
     return serving;
   }
 
-  /// No host in two groups, each group of full size, a serving one whole when
-  /// it was written.
+  /// Whether no host is in two groups and every group has its full size.
   bool IsSound() const {
     std::set<std::string> seen;
     for (const Group& group : m_state.groups) {
@@ -134,7 +134,7 @@
     bool alive = true;
   };
 
-  void Obey(const MemberOrder& order) {
+  void Execute(const MemberOrder& order) {
     if (const auto* leave = std::get_if<LeaveOrder>(&order)) {
       MemberReport& report = m_engines.at(leave->host).report;
       report.group.clear();
@@ -158,21 +158,21 @@
   std::map<std::string, TimePoint> m_phase_since;
 };
 
-void PassUntilQuiet(FakeDomain& domain, int most = 40) {
-  for (int i = 0; i < most; ++i) {
+void RunPasses(FakeDomain& domain, int passes = 40) {
+  for (int i = 0; i < passes; ++i) {
     domain.Pass();
   }
 }
 
 TEST_CASE("a lost member is replaced by a spare, the others stay") {
-  // Callers see the group gone for one load. A host dies; a free one takes its
-  // place in a new epoch.
+  // The group is out of service for the duration of one load: a host dies, and
+  // a free one takes its place in a new epoch.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   REQUIRE(domain.CountServing() == 2);
   const Group before = domain.m_state.groups[0];
   domain.Kill(before.members[1]);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const Group& after = domain.m_state.groups[0];
   CHECK(domain.CountServing() == 2);
   CHECK(after.epoch > before.epoch);
@@ -182,25 +182,25 @@
 
 TEST_CASE(
     "without a spare a group breaks, and reloads when its member is back") {
-  // Callers see refusals, never half an answer. The only host that could help
+  // Requests are refused, never answered in part. The only host that could help
   // is the lost one itself.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string victim = domain.m_state.groups[0].members[2];
   domain.Kill(victim);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 1);
   CHECK(domain.m_state.groups[0].phase == GroupPhase::kBroken);
   domain.Revive(victim);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
 }
 
-TEST_CASE("a member that flaps costs one repair, not one a flap") {
-  // Callers see one short gap. A host's engine dies and returns again and
-  // again; after the first loss it is a spare that has not settled.
+TEST_CASE("a flapping member causes one repair, not one per flap") {
+  // Guards against repeated gaps in service. A host's engine dies and returns
+  // repeatedly; after the first loss it is a spare that has not settled.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string victim = domain.m_state.groups[0].members[0];
   int repairs = 0;
   for (int flap = 0; flap < 10; ++flap) {
@@ -214,14 +214,14 @@
   CHECK(repairs == 1);
 }
 
-TEST_CASE("a host that was lost just now takes no place until it has settled") {
-  // Callers of the group would wait for a second repair at once. The only free
-  // host flapped a moment ago; the group waits for it to hold out.
+TEST_CASE("a host that was just lost joins no group until it has settled") {
+  // Guards against a second repair right after the first. The only free host
+  // flapped a moment ago; the group waits until it has settled.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string flapping = domain.m_state.groups[0].members[0];
   domain.Kill(flapping);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   domain.Revive(flapping);
   domain.Kill(domain.m_state.groups[0].members[0]);
   CHECK(domain.Pass() == "break");
@@ -232,26 +232,26 @@
   CHECK(domain.m_now - broken >= kPolicy.settle);
 }
 
-TEST_CASE("an engine that obeyed an old order is called back") {
-  // Callers are not served by the group until it is whole again. A paused
-  // controller's order reaches an engine that ignores fencing numbers, and the
-  // engine leaves its group without its host being lost.
+TEST_CASE("an engine that obeyed an outdated order joins its group again") {
+  // A paused controller's order reaches an engine that ignores fencing numbers,
+  // and the engine leaves its group although its host is not lost. The group
+  // does not serve until it is complete again.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string host = domain.m_state.groups[0].members[1];
   const uint64_t epoch = domain.m_state.groups[0].epoch;
   domain.Revive(host);
   CHECK(domain.Pass() == "reload");
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
   CHECK(domain.m_state.groups[0].epoch > epoch);
 }
 
-TEST_CASE("a bad version goes back by itself and is not tried again") {
-  // Callers keep the capacity of the other replica. Version v2 is declared and
-  // fails to load on the first replica that tries it.
+TEST_CASE("a version that fails to load is rolled back and not retried") {
+  // Version v2 is declared and fails to load on the first replica that tries
+  // it. The other replica keeps serving.
   FakeDomain domain(6);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   ServingGroup& declared = domain.m_resources.serving_groups["g"];
   declared.model_version = "v2";
   declared.last_good_version = "v1";
@@ -274,22 +274,22 @@
   CHECK(fewest == 1);
 }
 
-TEST_CASE("a group leaves a host that the platform takes away, in good order") {
-  // Callers in flight finish: the group drains before it changes members.
+TEST_CASE("a group drains before it leaves a host that the platform removes") {
+  // Requests in flight finish: the group drains before it changes members.
   FakeDomain domain(7);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   const std::string leaving = domain.m_state.groups[0].members[0];
   for (PlatformHost& host : domain.m_hosts.hosts) {
     host.leaving = host.name == leaving;
   }
   CHECK(domain.Pass() == "drain");
   CHECK(domain.m_state.groups[0].phase == GroupPhase::kDraining);
-  PassUntilQuiet(domain);
+  RunPasses(domain);
   CHECK(domain.CountServing() == 2);
   CHECK(FindGroupOfHost(domain.m_state, leaving) == nullptr);
 }
 
-TEST_CASE("property: whatever dies, no host is in two groups, and it heals") {
+TEST_CASE("property: with any hosts lost, groups stay disjoint and recover") {
   REQUIRE(rc::check("plan", [] {
     FakeDomain domain(*rc::gen::inRange(6, 10));
     const int steps = *rc::gen::inRange(10, 80);
@@ -318,66 +318,67 @@
     for (const std::string& host : dead) {
       domain.Revive(host);
     }
-    PassUntilQuiet(domain, 80);
+    RunPasses(domain, 80);
     RC_ASSERT(domain.CountServing() == 2);
     RC_ASSERT(domain.IsSound());
   }));
 }
 
-TEST_CASE(
-    "a controller that dies after any step has a successor that ends it") {
-  // Callers see both replicas in the end. The controller dies after each write
-  // in turn, from forming to serving and through a repair.
+TEST_CASE("a successor completes the steps of a controller that died") {
+  // Both replicas serve in the end. The controller dies after each number of
+  // passes, from forming to serving and through a repair.
   for (int deaths = 0; deaths < 12; ++deaths) {
     FakeDomain domain(7);
     for (int i = 0; i < deaths; ++i) {
       domain.Pass();
     }
     domain.ForgetViews();
-    PassUntilQuiet(domain);
+    RunPasses(domain);
     REQUIRE(domain.CountServing() == 2);
     domain.Kill(domain.m_state.groups[1].members[0]);
     for (int i = 0; i < deaths; ++i) {
       domain.Pass();
     }
     domain.ForgetViews();
-    PassUntilQuiet(domain);
+    RunPasses(domain);
     CHECK(domain.CountServing() == 2);
     CHECK(domain.IsSound());
   }
 }
 
-TEST_CASE("a line that waited in a buffer does not make a dead member live") {
-  // Callers would get answers of half a group. The reader is paused for ten
-  // seconds, the member dies after two; the reader wakes and finds lines.
+TEST_CASE("a buffered heartbeat line does not make a dead member look alive") {
+  // Guards against answers of an incomplete group. The reader is paused for ten
+  // seconds and the member dies after two; the reader then finds buffered
+  // lines.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
-  BeatLine beat;
+  HeartbeatLine beat;
   beat.engine_clock_us = 7'000'000;
-  evidence.OnBeat(beat, kStart + Seconds(10));
+  evidence.OnHeartbeatLine(beat, kStart + Seconds(10));
   beat.engine_clock_us = 9'000'000;
-  evidence.OnBeat(beat, kStart + Seconds(10));
+  evidence.OnHeartbeatLine(beat, kStart + Seconds(10));
   CHECK(*evidence.alive_at() == kStart + Seconds(2));
 }
 
-TEST_CASE("a member that was paused while it was asked is asked anew") {
-  // Callers would miss a whole group for minutes. The question waited three
-  // seconds in a paused engine; dated by it, each later line looks three
-  // seconds old, and the member lost.
+TEST_CASE("a connection to a member that was paused at its start is renewed") {
+  // Guards against a complete group that looks lost for minutes. The request
+  // waited three seconds in a paused engine; dated relative to it, each later
+  // line looks three seconds old.
   MemberEvidence evidence;
   evidence.OnConnect(kStart);
-  evidence.OnBeat({5'000'000, std::nullopt}, kStart + Seconds(3));
-  CHECK(evidence.IsLoose());
+  evidence.OnHeartbeatLine({5'000'000, std::nullopt}, kStart + Seconds(3));
+  CHECK(evidence.NeedsReconnect());
   evidence.OnConnect(kStart + Seconds(4));
-  evidence.OnBeat({6'001'000, std::nullopt}, kStart + Milliseconds(4002));
-  CHECK(!evidence.IsLoose());
+  evidence.OnHeartbeatLine({6'001'000, std::nullopt},
+                           kStart + Milliseconds(4002));
+  CHECK(!evidence.NeedsReconnect());
 }
 
-TEST_CASE("property: no bytes crash the reading of a line or a stored value") {
+TEST_CASE("property: no bytes crash the parsers of lines and stored values") {
   REQUIRE(rc::check("values", [] {
     const auto bytes = *rc::gen::container<std::string>(rc::gen::elementOf(
         std::string("{}[]\":,trgroupsholderfence0123456789-\xff\x80 \n")));
-    ParseBeatLine(bytes);
+    ParseHeartbeatLine(bytes);
     ParseDomainState(bytes);
     ParseDomainHosts("d", bytes);
     DomainState state;
@@ -399,9 +400,9 @@
   }));
 }
 
-TEST_CASE("replicas of a dark domain are formed elsewhere, and stay there") {
-  // Callers of spectra are served from the other domain. All groups of domain a
-  // are broken; b has room.
+TEST_CASE("replicas of a broken domain are formed where there are free hosts") {
+  // All groups of domain a are broken. The replica goes to b while b has free
+  // hosts, and stays assigned to a when it has none.
   Resources resources;
   resources.services["m"] = Service{"m", ServiceType::kModel, 0.9, {}, 1};
   ServingGroup declared;
--- a/tests/poison_cost.cc
+++ b/tests/poison_cost.cc
@@ -1,11 +1,11 @@
-/// Prints what requests under which servers end cost an entry host when its
-/// memory of them is full.
+/// Measures the cost of poison request detection on an entry host whose ledger
+/// is full.
 
 #include <chrono>
 #include <cstdio>
 #include <string>
 
-#include "filbertrack/news_message.h"
+#include "filbertrack/gossip_message.h"
 #include "filbertrack/poison_ledger.h"
 
 namespace {
@@ -36,34 +36,37 @@
   for (int server = 0; server < kServers; ++server) {
     for (int slot = 0; slot < kSlots; ++slot) {
       const std::string body = std::to_string(++request);
-      ledger.Note(EndedUnder{{"i-0123456789", 1796269846484},
+      ledger.Note(
+          EndedDuringRequest{{"i-0123456789", 1796269846484},
                              DigestRequest({"POST", "h", "/x", "w", body}),
                              EndProgress::kAnswering},
-                  now);
-      ledger.Note(EndedUnder{{"s" + std::to_string(server), 1796269846484},
+          now);
+      ledger.Note(
+          EndedDuringRequest{{"s" + std::to_string(server), 1796269846484},
                              DigestRequest({"POST", "h", "/x", "w", body}),
                              EndProgress::kAnswering},
-                  now);
+          now);
     }
   }
   const std::string body(2000, 'x');
   size_t bytes = 0;
-  std::printf("ends remembered: %zu\n", ledger.CountEnds());
+  std::printf("ends in the ledger: %zu\n", ledger.CountEnds());
   std::printf("digest of 2,000 bytes: %.2f us\n", MicrosecondsOf([&] {
                 bytes += DigestRequest({"POST", "h", "/x", "w", body}).size();
               }));
-  std::printf("decision, twelve times a second: %.1f us\n",
-              MicrosecondsOf([&] { bytes += ledger.Settle(now).size(); }));
+  std::printf(
+      "update of blocks, twelve times a second: %.1f us\n",
+      MicrosecondsOf([&] { bytes += ledger.UpdateBlocks(now).size(); }));
   const uint64_t known = ledger.revision() - 1;
-  std::printf("answer with one new fact: %.1f us\n", MicrosecondsOf([&] {
+  std::printf("reply with one new fact: %.1f us\n", MicrosecondsOf([&] {
                 bytes += ledger.Since(known, now).facts.size();
               }));
-  NewsAnswer rest;
-  NewsAnswer full;
+  GossipReply rest;
+  GossipReply full;
   full.poison = ledger.Since(0, now);
-  const size_t at_rest = EncodeNewsAnswer(rest).size();
-  const size_t with_facts = EncodeNewsAnswer(full).size();
-  std::printf("a fact in a message: %.1f bytes\n",
+  const size_t at_rest = EncodeGossipReply(rest).size();
+  const size_t with_facts = EncodeGossipReply(full).size();
+  std::printf("one fact in a message: %.1f bytes\n",
               static_cast<double>(with_facts - at_rest) /
                   static_cast<double>(full.poison.facts.size()));
   return bytes == 0 ? 1 : 0;
