--- a/source/http_bounded.cc
+++ b/source/http_buffered_client.cc
@@ -1,4 +1,4 @@
-#include "filbertrack/http_bounded.h"
+#include "filbertrack/http_buffered_client.h"
 
 #include <algorithm>
 
--- a/tests/entry_poison_test.cc
+++ b/tests/entry_poison_test.cc
@@ -2,9 +2,9 @@
 
 #include <deque>
 
-#include "counted_records.h"
 #include "filbertrack/entry_poison.h"
 #include "filbertrack/entry_poison_record.h"
+#include "in_memory_record_store.h"
 #include "run_until.h"
 
 /// Tests how an entry host evaluates broken attempts: which servers terminated,
--- a/tests/entry_roster_test.cc
+++ b/tests/entry_roster_test.cc
@@ -2,8 +2,8 @@
 
 #include <map>
 
-#include "counted_records.h"
 #include "filbertrack/entry_roster.h"
+#include "in_memory_record_store.h"
 #include "run_until.h"
 
 namespace filbertrack {
--- a/tests/platform_return_test.cc
+++ b/tests/platform_return_test.cc
@@ -2,8 +2,8 @@
 #include <doctest/doctest.h>
 
 #include "filbertrack/entry_host.h"
-#include "platform_dialect.h"
-#include "platform_engines.h"
+#include "platform_engine_client.h"
+#include "platform_header_codec.h"
 
 /// What an entry host makes of the store's return, and of entries that cannot
 /// be read, without sockets.
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -6,7 +6,7 @@
 
 #include "platform_config.h"
 #include "platform_decode.h"
-#include "platform_dialect.h"
+#include "platform_header_codec.h"
 #include "platform_store.h"
 #include "platform_store_standin.h"
 #include "run_until.h"
