--- a/include/filbertrack/controller.h
+++ b/include/filbertrack/controller.h
@@ -41,30 +41,30 @@
   void ReadDomains();
   void ReadState(Domain& domain, const StoredObject& object);
   void WatchHosts();
-  void Pass();
-  void PassDomain(Domain& domain);
-  void Act(Domain& domain, TimePoint now);
+  void RunPass();
+  void ProcessDomain(Domain& domain);
+  void ReconcileDomain(Domain& domain, TimePoint now);
 
   bool MayActOn(const Domain& domain) const;
-  bool HoldsAny() const;
+  bool HoldsAnyLease() const;
   void Heartbeat();
   void OnHeartbeat(uint64_t version, TimePoint began, bool written);
   Duration RankDelay(const Domain& domain) const;
-  void Challenge(Domain& domain);
-  void ReadHolder(Domain& domain);
-  void TakeLease(Domain& domain);
+  void TryAcquireLease(Domain& domain);
+  void ReadHolderHeartbeat(Domain& domain);
+  void AcquireLease(Domain& domain);
 
   void Write(Domain& domain, const DomainState& next);
   void OnWritten(const std::string& name,
                  const std::string& text,
                  uint64_t term,
-                 const StoreAnswer& answer);
+                 const StoreResponse& response);
   /// Takes over what the store has; the domain is verified for `term` if that
   /// is what this controller wrote.
-  void TakeOver(const std::string& name,
-                const StoredObject& object,
-                const std::string& own_text,
-                uint64_t term);
+  void ApplyStoredState(const std::string& name,
+                        const StoredObject& object,
+                        const std::string& own_text,
+                        uint64_t term);
   static void LogGroups(const Domain& domain);
   void SendOrders(Domain& domain, const std::vector<MemberOrder>& orders);
   void SendOrder(Domain& domain, const std::string& host, std::string body);
--- a/include/filbertrack/controller_feed.h
+++ b/include/filbertrack/controller_feed.h
@@ -27,15 +27,15 @@
 
  private:
   void Tick();
-  void Ask();
-  void OnAnswer(const std::string* payload);
+  void RequestObjects();
+  void OnReply(const std::string* payload);
 
   ObjectCache& m_cache;
   std::function<void()> m_on_change;
   StoreWatch m_watch;
   std::unique_ptr<PeerClient> m_gateway;
-  std::vector<std::string> m_wanted;
-  TimePoint m_last_answer;
+  std::vector<std::string> m_wanted_keys;
+  TimePoint m_last_reply;
   std::unique_ptr<Timer> m_timer;
 };
 
--- a/include/filbertrack/entry_control.h
+++ b/include/filbertrack/entry_control.h
@@ -25,7 +25,7 @@
   ProbePolicy probes;
   Duration pass_interval = Milliseconds(200);
   /// Reports that arrive within this time of each other share a pass.
-  Duration gather = Milliseconds(10);
+  Duration coalesce_delay = Milliseconds(10);
   /// Between batches of orders: answers and the lease come first.
   Duration batch_pause = Milliseconds(2);
   /// A host that is much weaker than others gives the lease back once these
@@ -55,19 +55,19 @@
   void Tick();
   /// Gives the lease back where much stronger hosts can take it.
   void YieldToStronger(TimePoint now);
-  void Gained();
-  void Lost();
-  void PassSoon();
-  void Pass();
+  void OnLeaseGained();
+  void OnLeaseLost();
+  void SchedulePass();
+  void RunPass();
   static void LogCounts(const std::string& service,
                         const ReplicaCounts& counts);
-  void Queue(const PlannedOrder& planned);
+  void EnqueueOrder(const PlannedOrder& planned);
   /// Sends a batch of what waits, and the rest from later turns of the loop.
   void SendBatch();
-  void OnOrdered(const std::string& service,
-                 const ReplicaOrder& order,
-                 OrderResult result);
-  void SendOne(const std::string& host_id, const ReplicaOrder& order);
+  void OnOrderResult(const std::string& service,
+                     const ReplicaOrder& order,
+                     OrderResult result);
+  void SendOrder(const std::string& host_id, const ReplicaOrder& order);
 
   EventLoop& m_loop;
   ControlPolicy m_policy;
@@ -78,13 +78,13 @@
   EntryProber m_prober;
   bool m_stopping = false;
   /// Since when stronger hosts have been there without a break.
-  std::optional<TimePoint> m_yields_since;
+  std::optional<TimePoint> m_stronger_since;
 
   // While this host holds it.
   std::map<std::string, ReplicaMemory, std::less<>> m_memory;
   EntryOutbox m_outbox;
   std::unique_ptr<Timer> m_tick_timer;
-  TimePoint m_counted_at;
+  TimePoint m_counts_logged_at;
   bool m_pass_pending = false;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/include/filbertrack/entry_lease.h
+++ b/include/filbertrack/entry_lease.h
@@ -43,10 +43,10 @@
 
   /// Renews the lease, or, where `may_stand`, takes it if nobody holds it. What
   /// an earlier process of this entry host held is taken in any case.
-  void Tick(bool may_stand);
+  void Tick(bool may_acquire);
 
   /// Gives the lease back, so that a successor need not wait.
-  void GiveBack();
+  void Release();
 
   bool IsHeld() const;
   uint64_t fence() const { return m_lease.fence; }
@@ -54,16 +54,16 @@
   const std::string& holder() const { return m_lease.holder; }
 
  private:
-  bool IsWaiting(TimePoint now) const;
+  bool HasCallInFlight(TimePoint now) const;
   void Read();
-  void OnRead(const StoreAnswer& answer);
+  void OnRead(const StoreResponse& answer);
   void Write(const DomainLease& lease);
   void OnWritten(const DomainLease& lease,
-                 TimePoint began,
-                 const StoreAnswer& answer);
-  void OnConfirmed(const DomainLease& lease, TimePoint began);
+                 TimePoint write_start,
+                 const StoreResponse& answer);
+  void OnConfirmed(const DomainLease& lease, TimePoint write_start);
   /// False where the record cannot be read, or is older than what is known.
-  bool Learn(const StoredObject& record);
+  bool ApplyRecord(const StoredObject& record);
 
   std::string m_holder;
   LeasePolicy m_policy;
@@ -72,22 +72,22 @@
   Events m_events;
   LeaseKeeper m_keeper;
   DomainLease m_lease;
-  HolderView m_view;
+  HolderView m_holder_view;
   uint64_t m_version = 0;
   TimePoint m_lease_seen;
   /// The latest fence that this process was confirmed to hold; 0: none.
   uint64_t m_confirmed_fence = 0;
-  uint64_t m_beats = 0;
+  uint64_t m_heartbeat = 0;
   /// The call that is waited for.
-  std::optional<TimePoint> m_call_began;
+  std::optional<TimePoint> m_call_start;
   /// Beginning of the earliest write since `m_version` that was not answered.
   std::optional<TimePoint> m_unanswered_since;
   TimePoint m_last_read;
-  bool m_may_stand = false;
+  bool m_may_acquire = false;
   bool m_was_read = false;
   Duration m_rank_delay{0};
   /// `gained` was told, and `lost` was not since.
-  bool m_leads = false;
+  bool m_reported_held = false;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/include/filbertrack/entry_metrics.h
+++ b/include/filbertrack/entry_metrics.h
@@ -15,7 +15,7 @@
 namespace filbertrack {
 
 /// How one request went.
-struct RequestFigures {
+struct RequestMetrics {
   RepeatRule repeat = RepeatRule::kOnce;
   std::string_view model;
   ResultCode code = ResultCode::kOk;
@@ -29,7 +29,7 @@
 class EntryMetrics {
  public:
   /// A request that was placed, or was to be.
-  void OnRequest(const RequestFigures& figures);
+  void OnRequest(const RequestMetrics& request_metrics);
   /// A request that was turned away before it was to be placed.
   void OnRejected(ResultCode code);
 
--- a/include/filbertrack/entry_outbox.h
+++ b/include/filbertrack/entry_outbox.h
@@ -15,7 +15,7 @@
 
 namespace filbertrack {
 
-struct WaitingOrder {
+struct QueuedOrder {
   std::string host;
   ReplicaOrder order;
 };
@@ -31,7 +31,7 @@
   }
 
   /// The next orders, in the order in which they were given.
-  std::vector<WaitingOrder> TakeBatch();
+  std::vector<QueuedOrder> TakeBatch();
 
   /// While orders wait, no further ones are planned: hosts that were not told
   /// yet would look free.
@@ -39,7 +39,7 @@
   void Clear() { m_orders.clear(); }
 
  private:
-  std::deque<WaitingOrder> m_orders;
+  std::deque<QueuedOrder> m_orders;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/entry_peers.h
+++ b/include/filbertrack/entry_peers.h
@@ -29,7 +29,7 @@
   /// How often each neighbour is asked: half of the time within which a host
   /// that has answered must not go back, and often enough that loads are fresh.
   Duration interval = Milliseconds(150);
-  Duration ask_timeout = Milliseconds(500);
+  Duration request_timeout = Milliseconds(500);
   /// Hosts asked in a round. With more peers than this each round asks others.
   size_t neighbours = 8;
   WatchPolicy watch;
@@ -37,19 +37,19 @@
   bool first_start = false;
   /// After the start the hosts that are listed in the store count as peers
   /// until they had time to be heard.
-  Duration settle = Seconds(2);
+  Duration startup_grace_period = Seconds(2);
   /// In large fleets so many hosts of a data centre ask the other ones; a
   /// second one, so that the loss of one is no gap.
   size_t relays = 2;
   LoadExchangePolicy loads;
   /// Time between two fetches of registrations: what changes meanwhile comes in
   /// one message. A third of a round.
-  Duration fetch_spacing = Milliseconds(50);
+  Duration min_fetch_gap = Milliseconds(50);
   /// A peer that does not answer is asked this much less often.
-  Duration silent_interval = Seconds(1);
+  Duration unresponsive_interval = Seconds(1);
   /// The hosts that are heard are named anew to those that remember them this
   /// often, also where none came or went.
-  Duration naming_interval = Seconds(1);
+  Duration host_refresh_interval = Seconds(1);
 };
 
 class EntryPeers {
@@ -70,7 +70,7 @@
 
   /// Something changed here: peers are told at once and not with the next
   /// round.
-  void OnOwnChange();
+  void OnLocalChange();
 
   /// This host must watch the store whatever the others do.
   void SetNeedsWatch(bool needs);
@@ -98,8 +98,8 @@
     /// never are.
     std::unique_ptr<PeerClient> client;
     bool busy() const { return client != nullptr && client->busy(); }
-    TimePoint asked_at;
-    bool silent = false;
+    TimePoint last_request;
+    bool unresponsive = false;
     /// Its facts of requests under which servers end are known up to here.
     uint64_t known_poison_revision = 0;
     /// The same of its words of limits that servers name.
@@ -109,17 +109,17 @@
   EntryRoster::Events RosterEvents();
   void OnSecret(const std::string& secret);
   void Listen(const std::string& secret);
-  void Round();
+  void RunRound();
   /// What is asked for of the work of hosts that the peer heard.
-  enum class Wants { kOwnOnly, kFar, kFarAndNear };
-  void Ask(const std::string& name, Peer& peer, Wants wants, TimePoint now);
-  void OnAnswer(const std::string& name, const std::string* payload);
-  void OnQuestion(std::string_view payload, const PeerServer::Answer& answer);
-  void TakeOver(const GossipReply& answer);
-  void TakeOverConfig(const GossipReply& answer);
+  enum class LoadScope { kOwn, kRemote, kRemoteAndLocal };
+  void Ask(const std::string& name, Peer& peer, LoadScope scope, TimePoint now);
+  void OnReply(const std::string& name, const std::string* payload);
+  void OnRequest(std::string_view payload, const PeerServer::Answer& answer);
+  void ApplyReply(const GossipReply& reply);
+  void ApplyConfig(const GossipReply& reply);
   /// What this host tells a peer of that data centre.
   GossipState OwnGossipState(std::string_view data_centre) const;
-  std::string Answer(const GossipRequest& ask);
+  std::string MakeReply(const GossipRequest& request);
   bool IsLocal(std::string_view data_centre) const;
   /// Asks the next peers of the own data centre in turn, so that all are asked.
   void AskLocalPeers(TimePoint now);
@@ -128,10 +128,10 @@
   void ExchangeLoads(TimePoint now);
   /// As a relay: asks the other relays here and one host of each other data
   /// centre.
-  void AskAsRelay(std::span<const std::string> relays, TimePoint now);
+  void ExchangeAsRelay(std::span<const std::string> relays, TimePoint now);
   /// Asks a relay of that data centre, or another host of it where none of them
   /// answers.
-  void AskOneOf(const std::string& data_centre, TimePoint now);
+  void AskDataCentre(const std::string& data_centre, TimePoint now);
   /// Asks one that exchanges loads with other data centres for this host.
   void AskRelay(std::span<const std::string> relays, TimePoint now);
   /// Who does what for the others. To find it out takes a look at every host
@@ -153,23 +153,23 @@
   const Roles& CurrentRoles(TimePoint now);
   /// -1 once the choice of watchers hangs on who is heard alone.
   int64_t WatchPhase(TimePoint now) const;
-  bool IsChosenToWatch(std::span<const FleetHost> heard, TimePoint now) const;
+  bool IsChosenToWatch(std::span<const FleetHost> live, TimePoint now) const;
   /// Tells over which hosts the limits of servers are divided.
-  void NameLimitHosts(TimePoint now);
+  void UpdateLimitHosts(TimePoint now);
   /// Tells who may let a copy of a marked request through.
-  void NameTrialHosts(TimePoint now);
-  std::set<std::string, std::less<>> FarDataCentres() const;
+  void UpdateTrialHosts(TimePoint now);
+  std::set<std::string, std::less<>> RemoteDataCentres() const;
   /// False where the peer is busy, or silent and was asked lately.
   bool TryAsk(const std::string& name, Peer& peer, TimePoint now);
   /// Asks `name` for what it knows more, unless another one is asked for it.
-  void WantNewer(const std::string& name, const GossipState& state);
+  void FetchNewer(const std::string& name, const GossipState& state);
   void AddPeer(const FleetHost& host, const std::string& address);
-  void NoteNews(const GossipState& state, TimePoint now);
-  void SumLoads(TimePoint now);
-  void ChooseWatch(TimePoint now);
+  void RecordState(const GossipState& state, TimePoint now);
+  void UpdateRemoteLoads(TimePoint now);
+  void UpdateWatching(TimePoint now);
   /// Peers that are listed and not heard may not have had the time.
-  bool IsSettling(TimePoint now) const {
-    return now - m_started < m_policy.settle;
+  bool IsStartingUp(TimePoint now) const {
+    return now - m_started < m_policy.startup_grace_period;
   }
 
   EventLoop& m_loop;
@@ -182,26 +182,26 @@
   EntryRoster m_roster;
   TimePoint m_started;
   bool m_watching = false;
-  bool m_listed = false;
+  bool m_has_list = false;
   bool m_needs_watch = false;
   /// Whom the configuration, and whom registrations are asked of.
   GossipFetch m_config_fetch;
   GossipFetch m_servers_fetch;
-  uint64_t m_told_config = 0;
-  uint64_t m_told_servers = 0;
-  EvacuationUpdate m_told_evacuations;
+  uint64_t m_announced_config = 0;
+  uint64_t m_announced_servers = 0;
+  EvacuationUpdate m_announced_evacuations;
   Traffic m_sent;
   std::string m_secret;
   std::unique_ptr<PeerServer> m_server;
   std::map<std::string, Peer, std::less<>> m_peers;
   FleetGossip m_gossip;
   /// Names of the peers that the last round ended with.
-  std::string m_last_near;
-  LoadExchange m_exchange;
+  std::string m_last_local_peer;
+  LoadExchange m_load_exchange;
   std::optional<Roles> m_roles;
   /// Counts peers that came or changed.
   uint64_t m_peer_changes = 0;
-  TimePoint m_limit_hosts_named;
+  TimePoint m_limit_hosts_updated;
   uint64_t m_limit_hosts_membership = 0;
   std::mt19937_64 m_random;
   std::unique_ptr<Timer> m_round_timer;
--- a/include/filbertrack/entry_poison_record.h
+++ b/include/filbertrack/entry_poison_record.h
@@ -59,7 +59,7 @@
 
  private:
   void Read();
-  void OnRead(const StoreAnswer& answer);
+  void OnRead(const StoreResponse& answer);
   void Apply(const StoredObject& object);
   void Tick();
   void Write();
--- a/include/filbertrack/entry_ports.h
+++ b/include/filbertrack/entry_ports.h
@@ -145,13 +145,13 @@
   /// Reads a record without a consistency guarantee; the result may be seconds
   /// old.
   virtual void Read(const std::string& name,
-                    std::function<void(StoreAnswer)> done) = 0;
+                    std::function<void(StoreResponse)> done) = 0;
   /// Compare-and-set: writes only if the record still has `expected_version`,
   /// where 0 means that it does not exist. Fails with kConflict otherwise.
   virtual void Write(const std::string& name,
                      const std::string& value,
                      uint64_t expected_version,
-                     std::function<void(StoreAnswer)> done) = 0;
+                     std::function<void(StoreResponse)> done) = 0;
   /// Reads all records whose names begin with `prefix`, with the same weak
   /// consistency as Read().
   virtual void ReadAll(
--- a/include/filbertrack/entry_roster.h
+++ b/include/filbertrack/entry_roster.h
@@ -22,11 +22,11 @@
   Duration list_interval = Seconds(20);
   /// Until a reading brings nothing new, they are read this often: each reading
   /// costs as many calls as there are pages.
-  Duration first_list_interval = Milliseconds(1500);
+  Duration initial_list_interval = Milliseconds(1500);
   /// A reading may be seconds old: of a fleet that starts together the first
   /// ones show nobody, or a part, whoever is there. A host that knows a part of
   /// the others watches the store in vain, as if it were alone.
-  Duration settle = Seconds(3);
+  Duration initial_list_duration = Seconds(3);
 };
 
 class EntryRoster {
@@ -51,7 +51,7 @@
 
  private:
   void LoadSecret();
-  void OnSecret(const StoreAnswer& answer);
+  void OnSecret(const StoreResponse& answer);
   /// Writes the record of this host unless `known`, the one in the store, says
   /// the same already. A host that restarts has the address that it had, and
   /// saves a write that conflicts and a second one.
@@ -71,10 +71,10 @@
   TimePoint m_started;
   std::string m_proposed_secret;
   /// The own record is written, or is being written, or need not be.
-  bool m_registers = false;
+  bool m_registration_begun = false;
   /// Keys of the records that were read so far.
-  std::set<std::string, std::less<>> m_known;
-  Duration m_start_pause{0};
+  std::set<std::string, std::less<>> m_known_keys;
+  Duration m_start_backoff{0};
   std::unique_ptr<Timer> m_retry_timer;
   std::unique_ptr<Timer> m_list_timer;
 };
--- a/include/filbertrack/explain_account.h
+++ b/include/filbertrack/explain_account.h
@@ -19,7 +19,7 @@
 
 namespace filbertrack {
 
-struct AccountPolicy {
+struct LossReportPolicy {
   /// What a late answer keeps of an answer on time: between 0 and 1. Users'
   /// sheets give a quarter for streams.
   double late_share = 0.25;
@@ -34,7 +34,7 @@
   std::string route;
   std::string model;
   /// Start of the window, in milliseconds since the first request.
-  int64_t window_ms = 0;
+  int64_t window_start_ms = 0;
   int requests = 0;
   /// In requests.
   double lost = 0;
@@ -44,9 +44,9 @@
   double predicted_ms = 0;
 };
 
-struct LossAccount {
+struct LossReport {
   /// Requests of callers that had a right to ask.
-  int asked = 0;
+  int total_requests = 0;
   int on_time = 0;
   /// `asked` less `on_time`, less what late answers are worth: the sum of the
   /// rows.
@@ -54,8 +54,8 @@
   std::vector<LossRow> rows;
 };
 
-LossAccount AccountLosses(std::span<const RequestLogLine> trail,
-                          const AccountPolicy& policy);
+LossReport AttributeLosses(std::span<const RequestLogLine> log_lines,
+                           const LossReportPolicy& policy);
 
 /// The rows added up over what `Field` tells apart, the largest loss first.
 std::vector<LossRow> SumLosses(std::span<const LossRow> rows,
--- a/include/filbertrack/explain_request.h
+++ b/include/filbertrack/explain_request.h
@@ -46,7 +46,7 @@
   std::string cause;
 };
 
-Explanation ExplainRequest(std::span<const RequestLogLine> trail,
+Explanation ExplainRequest(std::span<const RequestLogLine> log_lines,
                            std::string_view request_id);
 
 /// A line in short: time, host, event and its fields.
--- a/include/filbertrack/gateway.h
+++ b/include/filbertrack/gateway.h
@@ -38,8 +38,8 @@
   void Drain();
 
  private:
-  void OnCaller(const std::shared_ptr<HttpExchange>& exchange);
-  void OnAdmin(HttpExchange& exchange);
+  void OnCallerRequest(const std::shared_ptr<HttpExchange>& exchange);
+  void OnAdminRequest(HttpExchange& exchange);
   std::string StatusText() const;
   bool IsReady() const;
 
--- a/include/filbertrack/gateway_keys.h
+++ b/include/filbertrack/gateway_keys.h
@@ -36,8 +36,8 @@
   void Complete(KeyCompletion completion);
 
   /// Questions of other entry hosts to partitions that this one owns.
-  void OnAsked(const KeyedRequest& ask,
-               const std::function<void(KeyedReply)>& answer);
+  void OnPeerRequest(const KeyedRequest& request,
+                     const std::function<void(KeyedReply)>& reply);
 
   /// Writes to the object API begun by the partitions of this host.
   uint64_t writes() const;
@@ -46,21 +46,23 @@
 
  private:
   struct Outgoing {
-    KeyOperation order;
+    KeyOperation operation;
     Done done;
     TimePoint since;
   };
   struct Completion {
     KeyCompletion completion;
-    TimePoint next_try;
-    bool asking = false;
+    TimePoint next_attempt;
+    bool in_flight = false;
   };
 
   std::string PartitionOf(const std::string& ledger_key) const;
-  void Send(KeyOperation order, Done done);
-  void SubmitHere(const std::string& partition, KeyOperation order, Done done);
+  void Send(KeyOperation operation, Done done);
+  void SubmitLocal(const std::string& partition,
+                   KeyOperation operation,
+                   Done done);
   void Flush();
-  void FlushTo(const std::string& node, std::vector<Outgoing> orders);
+  void FlushTo(const std::string& node, std::vector<Outgoing> operations);
   void Tick();
   void RetryCompletions(TimePoint now);
   void Run(const std::string& partition, const std::vector<KeyAction>& actions);
@@ -72,7 +74,7 @@
   std::map<std::string, std::unique_ptr<KeyPartition>> m_partitions;
   std::map<uint64_t, Done> m_submitted;
   std::map<std::string, std::vector<Outgoing>> m_outgoing;
-  std::map<std::string, bool> m_asking;
+  std::map<std::string, bool> m_in_flight;
   std::map<uint64_t, Completion> m_completions;
   std::unique_ptr<Timer> m_timer;
   uint64_t m_last_id = 0;
--- a/include/filbertrack/gateway_peers.h
+++ b/include/filbertrack/gateway_peers.h
@@ -25,7 +25,8 @@
   /// Membership or the division changed: who watches what may have too.
   std::function<void()> on_membership;
   /// A question about idempotency keys from another entry host.
-  std::function<void(KeyedRequest ask, std::function<void(KeyedReply)> answer)>
+  std::function<void(KeyedRequest request,
+                     std::function<void(KeyedReply)> reply)>
       on_keyed;
 };
 
@@ -59,12 +60,12 @@
   bool MayBeBehind(TimePoint now) const;
 
   /// Asks the peer about idempotency keys; null where it did not answer.
-  void AskKeyed(const std::string& node,
-                const KeyedRequest& ask,
-                Duration timeout,
-                std::function<void(const KeyedReply* answer)> done);
+  void SendKeyedRequest(const std::string& node,
+                        const KeyedRequest& request,
+                        Duration timeout,
+                        std::function<void(const KeyedReply* reply)> done);
 
-  const LoanPolicy& loan_policy() const { return m_loans; }
+  const LoanPolicy& loan_policy() const { return m_loan_policy; }
 
  private:
   struct Neighbour {
@@ -74,19 +75,19 @@
     TimePoint asked_at;
   };
 
-  ExchangeState State();
-  void OnQuestion(std::string_view payload, const PeerServer::Answer& answer);
+  ExchangeState MakeExchangeState();
+  void OnPeerMessage(std::string_view payload, const PeerServer::Answer& reply);
   void Tick();
-  void AskNeighbours(TimePoint now);
-  void AskSeeds(TimePoint now);
-  void Ask(const std::string& name, const Address& address, TimePoint now);
-  void OnAnswer(const std::string& name,
-                const ExchangeRequest& ask,
-                TimePoint asked_at,
-                const std::string* payload);
-  void Confirm(TimePoint now);
+  void QueryNeighbours(TimePoint now);
+  void QuerySeeds(TimePoint now);
+  void Query(const std::string& name, const Address& address, TimePoint now);
+  void OnReply(const std::string& name,
+               const ExchangeRequest& request,
+               TimePoint asked_at,
+               const std::string* payload);
+  void UpdateConfirmations(TimePoint now);
   void ProbeStore(TimePoint now);
-  void KeepDivision(TimePoint now);
+  void UpdateDivision(TimePoint now);
   void WriteDivision(const std::vector<std::string>& live);
 
   EventLoop& m_loop;
@@ -101,16 +102,16 @@
   PeerTable m_table;
   DivisionTracker m_division;
   DivisionPolicy m_division_policy;
-  LoanPolicy m_loans;
+  LoanPolicy m_loan_policy;
   std::unique_ptr<PeerServer> m_server;
   std::map<std::string, Neighbour> m_neighbours;
   std::map<std::string, std::unique_ptr<PeerClient>> m_keyed_clients;
   std::unique_ptr<Timer> m_timer;
   uint64_t m_round = 0;
-  TimePoint m_seeds_asked;
-  TimePoint m_store_probed;
+  TimePoint m_seeds_queried_at;
+  TimePoint m_store_probed_at;
   std::vector<std::string> m_live;
-  TimePoint m_live_since;
+  TimePoint m_live_unchanged_since;
   bool m_writing_division = false;
   std::optional<TimePoint> m_config_confirmed_at;
 };
--- a/include/filbertrack/gateway_relay.h
+++ b/include/filbertrack/gateway_relay.h
@@ -44,7 +44,7 @@
 enum class TargetCheck { kForward, kHold, kLost };
 
 /// How a request ended, for its owner.
-struct RelayEnd {
+struct RelayResult {
   ResultCode code = ResultCode::kOk;
   Outcome outcome = Outcome::kRan;
   int status = 0;
@@ -78,7 +78,7 @@
                             const ForwardSpan& forwarded) = 0;
 
   /// The request is over; the relay is destroyed after this returns.
-  virtual void Ended(uint64_t relay, RelayEnd end) = 0;
+  virtual void Ended(uint64_t relay, RelayResult result) = 0;
 };
 
 /// Answers with a refusal: code and outcome stand in headers and in the body.
@@ -112,12 +112,14 @@
   const CallerRequest& request() const { return m_request; }
   const std::string& request_id() const { return m_request_id; }
   /// Targets that failed this request.
-  const std::set<std::string, std::less<>>& tried() const { return m_tried; }
+  const std::set<std::string, std::less<>>& failed_targets() const {
+    return m_failed_targets;
+  }
   /// Empty where no attempt is open.
   const std::optional<AttemptTarget>& target() const { return m_target; }
 
  private:
-  struct HeldPiece {
+  struct HeldEvent {
     TimePoint arrived;
     RequestEvent event;
   };
@@ -126,16 +128,16 @@
   HttpCallRequest MakeCall(uint64_t resume_from) const;
   void Feed(const RequestEvent& event);
   void Run(const std::vector<RequestAction>& actions);
-  void Offer(RequestEvent event);
+  void QueueEvent(RequestEvent event);
   void FlushHeld();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(std::string_view bytes);
   void CloseAttempt(bool failed);
   void ForwardToken(const SseEvent& event);
   void ForwardAnswer();
-  void NoteForwarded();
+  void RecordForwarded();
   void Refuse(ResultCode code, Outcome outcome);
-  void Finish(RelayEnd end);
+  void Finish(RelayResult result);
 
   EventLoop& m_loop;
   HttpClient& m_http;
@@ -158,9 +160,9 @@
   int m_answer_status = 0;
   HttpHeaders m_answer_headers;
   std::string m_answer_body;
-  std::deque<HeldPiece> m_held;
+  std::deque<HeldEvent> m_held;
 
-  std::set<std::string, std::less<>> m_tried;
+  std::set<std::string, std::less<>> m_failed_targets;
   Duration m_retry_after{0};
   bool m_stream_started = false;
   bool m_finished = false;
--- a/include/filbertrack/gateway_router.h
+++ b/include/filbertrack/gateway_router.h
@@ -25,7 +25,7 @@
 
 class GatewayRouter : public RelayHost {
  public:
-  using OnEnd = std::function<void(const RelayEnd& end)>;
+  using OnEnd = std::function<void(const RelayResult& result)>;
 
   GatewayRouter(EventLoop& loop,
                 const Settings& settings,
@@ -60,10 +60,10 @@
                     bool failed,
                     Duration measured,
                     const ForwardSpan& forwarded) override;
-  void Ended(uint64_t relay, RelayEnd end) override;
+  void Ended(uint64_t relay, RelayResult result) override;
 
  private:
-  struct Open {
+  struct OpenRelay {
     std::unique_ptr<Relay> relay;
     OnEnd on_end;
   };
@@ -79,7 +79,7 @@
   void LogForwarded(uint64_t relay,
                     const AttemptTarget& target,
                     const ForwardSpan& forwarded);
-  void RefuseHopeless(FairQueue& queue, TimePoint now);
+  void RefuseUnservable(FairQueue& queue, TimePoint now);
 
   EventLoop& m_loop;
   FleetView& m_fleet;
@@ -96,8 +96,8 @@
   RetryBudget m_retries;
   std::mt19937_64 m_random;
 
-  uint64_t m_last_relay = 0;
-  std::map<uint64_t, Open> m_relays;
+  uint64_t m_last_relay_id = 0;
+  std::map<uint64_t, OpenRelay> m_relays;
   std::map<std::string, std::set<uint64_t>, std::less<>> m_relays_of_target;
   std::map<std::string, FairQueue, std::less<>> m_queues;
   std::map<uint64_t, std::string> m_queue_of_relay;
--- a/include/filbertrack/history_check.h
+++ b/include/filbertrack/history_check.h
@@ -46,19 +46,26 @@
 /// A backend server began work.
 struct ExecutionEvent {
   std::string request;  ///< Entry host's id of the try.
-  std::string what;     ///< The caller's request, the same for all tries.
+  std::string work_id;  ///< The caller's request, the same for all tries.
   std::string server;
   HistoryTime at = 0;
 };
 
-enum class CallerResult { kWhole, kWrong, kBroken, kNotRun, kUnknown, kRan };
+enum class CallerResult {
+  kComplete,
+  kWrong,
+  kTruncated,
+  kNotRun,
+  kUnknown,
+  kRan
+};
 
 /// What a caller got for one try.
 struct CallerEvent {
   std::string request;
-  std::string what;
+  std::string work_id;
   bool idempotent = false;
-  CallerResult result = CallerResult::kWhole;
+  CallerResult result = CallerResult::kComplete;
   HistoryTime at = 0;
 };
 
@@ -79,7 +86,7 @@
 struct StoppedRequestEvent {
   std::string node;
   std::string request;
-  bool whole = false;
+  bool completed = false;
 };
 
 struct History {
@@ -95,30 +102,30 @@
 
 struct HistoryBounds {
   /// Age of evidence within which an answer may still be forwarded.
-  HistoryTime evidence = 1'000'000;
+  HistoryTime max_evidence_age = 1'000'000;
   /// A leaving server gets no new work after this.
-  HistoryTime leaving = 5'000'000;
+  HistoryTime leaving_grace = 5'000'000;
   /// An accepted configuration is in force everywhere after this.
-  HistoryTime in_force = 4'000'000;
+  HistoryTime propagation_timeout = 4'000'000;
 };
 
 /// The statements of the users' brief, in its order.
-enum class Statement {
-  kWholeGroups = 1,
+enum class Invariant {
+  kNoIncompleteGroupAnswers = 1,
   kOneGroupPerHost,
-  kOwnWholeAnswer,
-  kNotRunIsTrue,
+  kCorrectAnswers,
+  kNotRunIsAccurate,
   kAtMostOnce,
-  kLeavingGetsNoWork,
-  kPlannedStopCutsNothing,
-  kConfigInForceAndKept,
+  kNoWorkWhenLeaving,
+  kGracefulStop,
+  kConfigPropagation,
 };
 
-std::string_view StatementText(Statement statement);
+std::string_view InvariantText(Invariant invariant);
 
 struct Violation {
-  Statement statement;
-  std::string events;  ///< What happened, with names and times.
+  Invariant invariant;
+  std::string description;  ///< What happened, with names and times.
 };
 
 std::vector<Violation> CheckHistory(const History& history,
--- a/include/filbertrack/http_buffered_client.h
+++ b/include/filbertrack/http_buffered_client.h
@@ -11,7 +11,7 @@
 
 namespace filbertrack {
 
-class BoundedCalls {
+class BufferedHttpClient {
  public:
   /// Status 0: there was no whole answer in time. A request that was sent may
   /// have had its effect all the same.
@@ -22,10 +22,10 @@
   using Handle = std::weak_ptr<Open>;
 
   /// `max_idle` connections are kept for each address.
-  BoundedCalls(EventLoop& loop, size_t max_idle);
-  ~BoundedCalls();
-  BoundedCalls(const BoundedCalls&) = delete;
-  BoundedCalls& operator=(const BoundedCalls&) = delete;
+  BufferedHttpClient(EventLoop& loop, size_t max_idle);
+  ~BufferedHttpClient();
+  BufferedHttpClient(const BufferedHttpClient&) = delete;
+  BufferedHttpClient& operator=(const BufferedHttpClient&) = delete;
 
   Handle Start(const Address& address,
                HttpCallRequest request,
--- a/include/filbertrack/http_server.h
+++ b/include/filbertrack/http_server.h
@@ -68,11 +68,11 @@
   size_t UnsentBytes() const;
 
   /// Called once if the caller's connection closes before the answer ended.
-  void OnCallerGone(std::function<void()> action);
+  void OnCallerDisconnected(std::function<void()> action);
 
  private:
   friend class HttpConnection;
-  void CallerGone();
+  void NotifyCallerDisconnected();
 
   std::weak_ptr<HttpConnection> m_connection;
   std::string m_method;
@@ -82,7 +82,7 @@
   bool m_keep_alive;
   bool m_chunked = false;
   bool m_ended = false;
-  std::function<void()> m_on_gone;
+  std::function<void()> m_on_disconnected;
 };
 
 struct HttpServerLimits {
--- a/include/filbertrack/load_plan.h
+++ b/include/filbertrack/load_plan.h
@@ -12,7 +12,7 @@
 
 namespace filbertrack {
 
-enum class LoadKind { kStream, kWhole, kPlain, kKeyed };
+enum class LoadKind { kStream, kNonStreamed, kPlain, kKeyed };
 
 std::string_view LoadKindName(LoadKind kind);
 
@@ -39,7 +39,7 @@
 /// One request, due at `at` after the start of the run.
 struct PlannedRequest {
   uint64_t number = 0;
-  Duration at{0};
+  Duration offset{0};
   LoadKind kind = LoadKind::kStream;
   size_t workspace = 0;
   int prefix = 0;
--- a/include/filbertrack/load_runner.h
+++ b/include/filbertrack/load_runner.h
@@ -32,7 +32,7 @@
   /// Each request goes to every side, so that two policies meet the same load.
   std::vector<LoadTargets> sides;
   /// Keyed requests are sent this many times, each through another entry host.
-  int keyed_tries = 1;
+  int keyed_attempts = 1;
   /// Plain requests carry this header's value for Filbert-Idempotent.
   std::string plain_idempotent = "false";
 };
@@ -45,7 +45,7 @@
   uint64_t refused_unknown = 0;
   uint64_t refused_ran = 0;
   /// A started stream that ended visibly unfinished.
-  uint64_t broken = 0;
+  uint64_t truncated = 0;
   /// No HTTP answer at all.
   uint64_t no_answer = 0;
   /// Wrong text, a missing or doubled token, another request's answer, or an
@@ -55,8 +55,8 @@
   std::map<std::string, uint64_t> answered_of_workspace;
   std::map<int, uint64_t> codes;
   /// From the moment the request was due.
-  LatencyHistogram first_token;
-  LatencyHistogram whole;
+  LatencyHistogram first_token_latency;
+  LatencyHistogram total_latency;
   Duration max_gap{0};
 };
 
@@ -73,30 +73,30 @@
   std::string Summary() const;
 
  private:
-  struct Open;
+  struct OpenRequest;
   struct Side;
 
   void SendDue();
   void Send(size_t side, const PlannedRequest& planned, int attempt);
   std::string PlainPath(const PlannedRequest& planned) const;
   HttpCallRequest MakeCall(const PlannedRequest& planned,
-                           const Open& open) const;
-  void OnBytes(Open& open, std::string_view bytes);
-  void OnToken(Open& open, const SseEvent& event);
-  void OnEnd(Open& open, int status);
-  void CheckWhole(Open& open);
-  void Count(Open& open, int status);
-  void Finish(Open& open, std::string_view result);
+                           const OpenRequest& request) const;
+  void OnBytes(OpenRequest& request, std::string_view bytes);
+  void OnToken(OpenRequest& request, const SseEvent& event);
+  void OnEnd(OpenRequest& request, int status);
+  void VerifyAnswer(OpenRequest& request);
+  void Count(OpenRequest& request, int status);
+  void Finish(OpenRequest& request, std::string_view result);
 
   EventLoop& m_loop;
   LoadRun m_run;
   std::ostream* m_lines;
   HttpClient m_http;
   std::vector<PlannedRequest> m_plan;
-  size_t m_next = 0;
+  size_t m_next_planned = 0;
   TimePoint m_start;
   std::vector<std::unique_ptr<Side>> m_sides;
-  std::map<uint64_t, std::unique_ptr<Open>> m_open;
+  std::map<uint64_t, std::unique_ptr<OpenRequest>> m_open_requests;
   uint64_t m_last_id = 0;
   std::unique_ptr<Timer> m_timer;
 };
--- a/include/filbertrack/log.h
+++ b/include/filbertrack/log.h
@@ -32,7 +32,7 @@
 
 /// `schedule` is called when lines begin to gather; it sees to it that
 /// FlushLog() is called soon.
-void OnLogGathers(std::function<void()> schedule);
+void SetLogFlushScheduler(std::function<void()> schedule);
 
 /// Lines dropped so far: over the rate of their kind, or with a full buffer.
 uint64_t DroppedLogLines();
--- a/include/filbertrack/operator_client.h
+++ b/include/filbertrack/operator_client.h
@@ -73,26 +73,26 @@
   Result<ChangeResult> Apply(const ChangeRequest& request);
 
   /// Records of the latest changes, newest first, at most `most`.
-  Result<std::vector<ChangeRecord>> History(size_t most);
+  Result<std::vector<ChangeRecord>> History(size_t max_records);
 
   Result<std::vector<DomainReport>> ReadDomains();
 
-  std::vector<EntryHostReport> AskEntryHosts();
+  std::vector<EntryHostReport> QueryEntryHosts();
 
   /// Waits until every entry host has `generation`; the error names those that
   /// have not.
-  Result<bool> WaitInForce(uint64_t generation, Duration limit);
+  Result<bool> WaitInForce(uint64_t generation, Duration timeout);
 
  private:
-  StoreAnswer Get(const std::string& key);
-  StoreAnswer Put(const std::string& key,
-                  const std::string& value,
-                  uint64_t version);
+  StoreResponse Get(const std::string& key);
+  StoreResponse Put(const std::string& key,
+                    const std::string& value,
+                    uint64_t version);
   Result<std::vector<StoredObject>> List(const std::string& prefix);
   Result<bool> PutImmutable(const std::string& key, const std::string& value);
-  Result<ChangeResult> ResolveLostAnswer(const StoredConfig& before,
-                                         const ChangeRecord& record,
-                                         const ChangeRequest& request);
+  Result<ChangeResult> ResolveUnknownWrite(const StoredConfig& before,
+                                           const ChangeRecord& record,
+                                           const ChangeRequest& request);
   Result<bool> ContainsChange(const StoredConfig& config,
                               uint64_t generation,
                               const std::string& change_id);
--- a/include/filbertrack/program.h
+++ b/include/filbertrack/program.h
@@ -19,7 +19,7 @@
   /// In place of `run`, for programs that read their settings again; the second
   /// argument does that.
   std::function<int(const Settings&, std::function<Result<Settings>()>)>
-      run_reloading = nullptr;
+      run_with_reload = nullptr;
 };
 
 int RunProgram(const ProgramInfo& program, int argc, char** argv);
--- a/include/filbertrack/settings.h
+++ b/include/filbertrack/settings.h
@@ -21,30 +21,30 @@
 Result<Address> ParseAddress(std::string_view text);
 
 struct IntegerKey {
-  int64_t fallback;
-  int64_t lowest;
-  int64_t highest;
+  int64_t default_value;
+  int64_t min_value;
+  int64_t max_value;
 };
 /// May have a fraction.
 struct NumberKey {
-  double fallback;
-  double lowest;
-  double highest;
+  double default_value;
+  double min_value;
+  double max_value;
 };
 /// Written with a unit: 250ms, 4s, 1.5s, 10m.
 struct DurationKey {
-  Duration fallback;
-  Duration lowest;
-  Duration highest;
+  Duration default_value;
+  Duration min_value;
+  Duration max_value;
 };
 struct TextKey {
-  std::string fallback;
+  std::string default_value;
   bool required = false;
   std::vector<std::string> allowed;  ///< Empty: any text.
   size_t min_bytes = 0;
 };
 struct AddressKey {
-  std::string fallback;  ///< Empty: the key is required.
+  std::string default_value;  ///< Empty: the key is required.
 };
 /// Addresses separated by commas; may be empty.
 struct AddressListKey {};
@@ -57,7 +57,7 @@
                              AddressListKey>;
 
 /// One declared key.
-struct KeyRow {
+struct SettingsKey {
   std::string section;
   std::string key;
   KeyType type;
@@ -92,7 +92,8 @@
 /// The declared keys of one program.
 class SettingsSchema {
  public:
-  explicit SettingsSchema(std::vector<KeyRow> rows) : m_rows(std::move(rows)) {}
+  explicit SettingsSchema(std::vector<SettingsKey> rows)
+      : m_rows(std::move(rows)) {}
 
   Result<Settings> ReadFile(const std::string& path) const;
   Result<Settings> ParseText(const std::string& text,
@@ -102,7 +103,7 @@
   std::string Describe() const;
 
  private:
-  std::vector<KeyRow> m_rows;
+  std::vector<SettingsKey> m_rows;
 };
 
 }  // namespace filbertrack
--- a/include/filbertrack/store_client.h
+++ b/include/filbertrack/store_client.h
@@ -26,12 +26,12 @@
   kUnavailable,
 };
 
-struct StoreAnswer {
+struct StoreResponse {
   StoreStatus status = StoreStatus::kUnavailable;
   StoredObject object;
 };
 
-struct WatchAnswer {
+struct WatchResponse {
   StoreStatus status = StoreStatus::kUnavailable;
   /// Ask again from here.
   uint64_t revision = 0;
@@ -47,19 +47,19 @@
               Duration timeout,
               Duration watch_wait);
 
-  void Get(const std::string& key, std::function<void(StoreAnswer)> done);
+  void Get(const std::string& key, std::function<void(StoreResponse)> done);
 
   /// Writes if the object still has `expected_version`.
   void Put(const std::string& key,
            std::string value,
            uint64_t expected_version,
-           std::function<void(StoreAnswer)> done);
+           std::function<void(StoreResponse)> done);
 
   /// Objects under `prefix` changed after `revision`; waits for a first one.
   /// Revision 0 answers at once with all of them.
   void Watch(const std::string& prefix,
              uint64_t revision,
-             std::function<void(WatchAnswer)> done);
+             std::function<void(WatchResponse)> done);
 
   /// Calls made so far, watches included.
   uint64_t calls() const { return m_calls; }
--- a/include/filbertrack/store_watch.h
+++ b/include/filbertrack/store_watch.h
@@ -27,7 +27,7 @@
   bool healthy() const;
 
  private:
-  struct Prefix {
+  struct WatchedPrefix {
     std::string prefix;
     uint64_t revision = 0;
     Duration backoff{0};
@@ -35,15 +35,15 @@
     std::unique_ptr<Timer> timer;
   };
 
-  void Ask(const std::shared_ptr<Prefix>& prefix);
-  void OnAnswer(const std::shared_ptr<Prefix>& prefix,
-                const WatchAnswer& answer);
+  void StartWatch(const std::shared_ptr<WatchedPrefix>& prefix);
+  void OnResponse(const std::shared_ptr<WatchedPrefix>& prefix,
+                  const WatchResponse& response);
 
   EventLoop& m_loop;
   StoreClient& m_store;
   ObjectCache& m_cache;
   std::function<void()> m_on_change;
-  std::vector<std::shared_ptr<Prefix>> m_prefixes;
+  std::vector<std::shared_ptr<WatchedPrefix>> m_prefixes;
 };
 
 }  // namespace filbertrack
--- a/soak/main_soak.cc
+++ b/soak/main_soak.cc
@@ -13,26 +13,26 @@
 namespace filbertrack::soak {
 namespace {
 
-constexpr Duration kReadyLimit = Seconds(20);
+constexpr Duration kReadyTimeout = Seconds(20);
 constexpr Duration kFaultInterval = Milliseconds(500);
 constexpr Duration kCallInterval = Milliseconds(15);
 /// After the faults: time in which the fleet must serve again.
-constexpr Duration kRecovery = Seconds(12);
-constexpr Duration kLastCalls = Seconds(8);
+constexpr Duration kRecoveryTime = Seconds(12);
+constexpr Duration kDrainTimeout = Seconds(8);
 /// Between copies of a request that ends servers.
 constexpr Duration kPoisonInterval = Milliseconds(150);
 /// After the faults, until all entry hosts must know of it: the hosts that are
 /// started again, and as long as the platform grants besides.
-constexpr Duration kAgreeing = Seconds(6);
+constexpr Duration kBlockPropagationTime = Seconds(6);
 constexpr Duration kStallCheck = Milliseconds(100);
 /// A turn of this process that takes longer is a stall.
-constexpr Duration kLongestTurn = Seconds(1);
+constexpr Duration kMaxLoopGap = Seconds(1);
 /// Between signals of servers.
 constexpr Duration kSignalInterval = Milliseconds(700);
 /// Servers that it may end later, over the whole fleet.
 constexpr int kMaxLateCrashes = 3;
 
-struct Line {
+struct SoakOptions {
   std::string program;
   std::string folder;
   uint64_t seed = 1;
@@ -46,9 +46,9 @@
 /// Runs the loop for a time, or until `done`. False where the time came first.
 template <typename Done>
 bool RunFor(EventLoop& loop, Duration time, Done done) {
-  bool over = false;
-  const auto limit = loop.After(time, [&loop, &over] {
-    over = true;
+  bool timed_out = false;
+  const auto limit = loop.After(time, [&loop, &timed_out] {
+    timed_out = true;
     loop.Stop();
   });
   const auto check = loop.Every(Milliseconds(20), [&loop, &done] {
@@ -57,14 +57,14 @@
     }
   });
   loop.Run();
-  return !over;
+  return !timed_out;
 }
 
 /// Notices when this process, and with it all backend servers and callers,
 /// stood still: to the entry hosts that is a fault of everything at once.
-class StallWatch {
+class StallDetector {
  public:
-  StallWatch(EventLoop& loop, Fleet& fleet, Callers& callers)
+  StallDetector(EventLoop& loop, Fleet& fleet, Callers& callers)
       : m_fleet(fleet),
         m_callers(callers),
         m_last(MonotonicNow()),
@@ -75,12 +75,12 @@
  private:
   void Check() {
     const TimePoint now = MonotonicNow();
-    if (now - m_last > kLongestTurn) {
+    if (now - m_last > kMaxLoopGap) {
       ++m_count;
       for (const TimePoint at : {m_last, now}) {
-        m_callers.NoteUnplanned(at);
+        m_callers.RecordDisruption(at);
         for (const auto& entry : m_fleet.entries()) {
-          entry->disturbed.push_back(at);
+          entry->disruptions.push_back(at);
         }
       }
     }
@@ -94,20 +94,22 @@
   int m_count = 0;
 };
 
-void Report(const Line& line, const std::vector<std::string>& violations) {
+void PrintViolations(const SoakOptions& options,
+                     const std::vector<std::string>& violations) {
   for (const std::string& violation : violations) {
-    std::printf("seed %llu: %s\n", static_cast<unsigned long long>(line.seed),
+    std::printf("seed %llu: %s\n",
+                static_cast<unsigned long long>(options.seed),
                 violation.c_str());
   }
 }
 
 /// What holds once the faults are over, though copies of a request that ends
 /// servers still come: it ends few more, and calls beside it are answered.
-void CheckBesidePoison(EventLoop& loop,
-                       Fleet& fleet,
-                       const Callers& callers,
-                       Duration time) {
-  RunFor(loop, kAgreeing, [] { return false; });
+void CheckUnderPoison(EventLoop& loop,
+                      Fleet& fleet,
+                      const Callers& callers,
+                      Duration time) {
+  RunFor(loop, kBlockPropagationTime, [] { return false; });
   const int before = fleet.crashes();
   const TimePoint since = MonotonicNow();
   RunFor(loop, time, [] { return false; });
@@ -118,7 +120,7 @@
         std::to_string(before) + " before");
   }
   for (const CallKind kind :
-       {CallKind::kStream, CallKind::kIdempotent, CallKind::kOnce}) {
+       {CallKind::kStream, CallKind::kIdempotent, CallKind::kNonIdempotent}) {
     if (callers.CountAnswered(kind, since) == 0) {
       fleet.violations().push_back("calls of kind " +
                                    std::to_string(static_cast<int>(kind)) +
@@ -127,60 +129,62 @@
   }
 }
 
-int Run(const Line& line) {
+int Run(const SoakOptions& options) {
   EventLoop loop;
-  FleetOptions options;
-  options.program = line.program;
-  options.folder = line.folder;
-  options.entry_hosts = line.entry_hosts;
-  options.runners = line.runners;
-  Fleet fleet(loop, options);
+  FleetOptions fleet_options;
+  fleet_options.program = options.program;
+  fleet_options.folder = options.folder;
+  fleet_options.entry_hosts = options.entry_hosts;
+  fleet_options.runners = options.runners;
+  Fleet fleet(loop, fleet_options);
   if (!fleet.Start()) {
-    std::printf("'%s' cannot be started.\n", line.program.c_str());
+    std::printf("'%s' cannot be started.\n", options.program.c_str());
     return 2;
   }
-  if (!RunFor(loop, kReadyLimit, [&fleet] { return fleet.CountOpen() >= 2; })) {
+  if (!RunFor(loop, kReadyTimeout,
+              [&fleet] { return fleet.CountOpenGroups() >= 2; })) {
     fleet.violations().push_back("no two groups opened in the lead time");
   }
-  Callers callers(loop, fleet, line.seed);
-  const StallWatch stalls(loop, fleet, callers);
-  Faults faults(loop, fleet, callers, line.seed + 1);
+  Callers callers(loop, fleet, options.seed);
+  const StallDetector stall_detector(loop, fleet, callers);
+  Faults faults(loop, fleet, callers, options.seed + 1);
   // Entry hosts may still be starting.
-  callers.NoteUnplanned(MonotonicNow());
+  callers.RecordDisruption(MonotonicNow());
   callers.Start(kCallInterval);
-  PoisonCaller poison(loop, fleet, callers, line.seed + 2);
-  if (line.poison) {
+  PoisonCaller poison(loop, fleet, callers, options.seed + 2);
+  if (options.poison) {
     poison.Start(kPoisonInterval);
   }
-  Signals signals(loop, fleet, line.seed + 3);
-  if (line.signals) {
+  Signals signals(loop, fleet, options.seed + 3);
+  if (options.signals) {
     signals.Start(kSignalInterval);
   }
   faults.Start(kFaultInterval);
-  RunFor(loop, Seconds(line.seconds), [] { return false; });
+  RunFor(loop, Seconds(options.seconds), [] { return false; });
   faults.Stop();
   signals.Stop();
   const size_t before = callers.CountAnswered();
-  if (line.poison) {
-    CheckBesidePoison(loop, fleet, callers, kRecovery);
+  if (options.poison) {
+    CheckUnderPoison(loop, fleet, callers, kRecoveryTime);
     poison.Stop();
   } else {
-    RunFor(loop, kRecovery, [] { return false; });
+    RunFor(loop, kRecoveryTime, [] { return false; });
   }
   if (callers.CountAnswered() == before) {
     fleet.violations().push_back("nothing was answered after the faults");
   }
   callers.Stop();
-  RunFor(loop, kLastCalls, [&callers] { return callers.idle(); });
+  RunFor(loop, kDrainTimeout, [&callers] { return callers.idle(); });
   callers.Check(fleet.violations());
   signals.Check(callers, fleet.violations());
-  Report(line, fleet.violations());
+  PrintViolations(options, fleet.violations());
   std::printf(
       "%zu calls, %zu answered, %d faults, %zu copies of a request "
       "that ended %d servers, %zu signals of servers with %zu requests, "
       "%d stalls of the soak itself\n",
       callers.count(), callers.CountAnswered(), faults.count(), poison.copies(),
-      fleet.crashes(), signals.count(), signals.checked(), stalls.count());
+      fleet.crashes(), signals.count(), signals.checked(),
+      stall_detector.count());
   const size_t bad = fleet.violations().size();
   std::printf("%d passed, %zu failed\n", bad == 0 ? 1 : 0, bad);
   return bad == 0 ? 0 : 1;
@@ -192,17 +196,20 @@
 int main(int argc, char** argv) {
   CLI::App app("Runs entry hosts under random faults and checks what is seen.",
                "filbert-soak");
-  filbertrack::soak::Line line;
-  app.add_option("--entry", line.program, "Path of filbert-entry.")->required();
-  app.add_option("--folder", line.folder, "For settings and logs.")->required();
-  app.add_option("--seed", line.seed, "Of faults and calls.");
-  app.add_option("--seconds", line.seconds, "Time with faults, in seconds.");
-  app.add_option("--entry-hosts", line.entry_hosts, "Processes of that kind.");
-  app.add_flag("--poison", line.poison,
+  filbertrack::soak::SoakOptions options;
+  app.add_option("--entry", options.program, "Path of filbert-entry.")
+      ->required();
+  app.add_option("--folder", options.folder, "For settings and logs.")
+      ->required();
+  app.add_option("--seed", options.seed, "Of faults and calls.");
+  app.add_option("--seconds", options.seconds, "Time with faults, in seconds.");
+  app.add_option("--entry-hosts", options.entry_hosts,
+                 "Processes of that kind.");
+  app.add_flag("--poison", options.poison,
                "A request that ends servers comes again and again.");
-  app.add_flag("--signals", line.signals,
+  app.add_flag("--signals", options.signals,
                "Servers name limits, ask for rest and say that they leave.");
-  app.add_option("--runners", line.runners, "Hosts of groups at the start.");
+  app.add_option("--runners", options.runners, "Hosts of groups at the start.");
   CLI11_PARSE(app, argc, argv);
-  return filbertrack::soak::Run(line);
+  return filbertrack::soak::Run(options);
 }
--- a/soak/soak_callers.cc
+++ b/soak/soak_callers.cc
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr size_t kCallers = 12;
-constexpr size_t kConnectionsEach = 1;
-constexpr Duration kPatience = Seconds(4);
+constexpr size_t kConnectionsPerCaller = 1;
+constexpr Duration kDeadline = Seconds(4);
 /// A caller gives up this long after its patience has ended.
-constexpr Duration kPatienceMargin = Seconds(2);
+constexpr Duration kCancelMargin = Seconds(2);
 /// An unplanned fault excuses broken connections of requests that were open
 /// this long after it.
-constexpr Duration kAfterFault = Seconds(4);
+constexpr Duration kDisruptionWindow = Seconds(4);
 
-std::string WholeStream() {
+std::string CompleteStream() {
   std::string text;
   for (int i = 1; i <= kStreamEvents; ++i) {
     text += "id: " + std::to_string(i) + "\ndata: part " + std::to_string(i) +
@@ -30,7 +30,7 @@
       return "/s/x";
     case CallKind::kIdempotent:
       return "/safe/x";
-    case CallKind::kOnce:
+    case CallKind::kNonIdempotent:
       return "/once/x";
   }
   return "/";
@@ -45,7 +45,7 @@
       {"X-Attempt-Id", id},
       {"X-Model", "m"},
       {"X-Token-Usage", "100,50"},
-      {"X-Deadline-Remaining", std::to_string(ToMilliseconds(kPatience))},
+      {"X-Deadline-Remaining", std::to_string(ToMilliseconds(kDeadline))},
       {"Authorization", "Bearer key"}};
   return request;
 }
@@ -55,7 +55,8 @@
 Callers::Callers(EventLoop& loop, Fleet& fleet, uint64_t seed)
     : m_loop(loop), m_fleet(fleet), m_random(seed) {
   for (size_t i = 0; i < kCallers; ++i) {
-    m_clients.push_back(std::make_unique<HttpClient>(loop, kConnectionsEach));
+    m_clients.push_back(
+        std::make_unique<HttpClient>(loop, kConnectionsPerCaller));
   }
 }
 
@@ -72,15 +73,15 @@
 size_t Callers::CountAnswered() const {
   return static_cast<size_t>(std::count_if(
       m_records.begin(), m_records.end(), [](const CallRecord& record) {
-        return !record.broke && record.status == 200;
+        return !record.aborted && record.status == 200;
       }));
 }
 
 size_t Callers::CountAnswered(CallKind kind, TimePoint since) const {
   return static_cast<size_t>(std::count_if(
       m_records.begin(), m_records.end(), [&](const CallRecord& record) {
-        return record.kind == kind && record.began >= since && !record.broke &&
-               record.status == 200;
+        return record.kind == kind && record.started_at >= since &&
+               !record.aborted && record.status == 200;
       }));
 }
 
@@ -92,7 +93,7 @@
       m_fleet(fleet),
       m_callers(callers),
       m_random(seed),
-      m_client(loop, kConnectionsEach) {}
+      m_client(loop, kConnectionsPerCaller) {}
 
 PoisonCaller::~PoisonCaller() = default;
 
@@ -111,7 +112,7 @@
   request.body = kPoisonBody;
   const auto end = [this, id] {
     // Streams of others break off with a server.
-    m_callers.NoteUnplanned(MonotonicNow());
+    m_callers.RecordDisruption(MonotonicNow());
     m_loop.Post([this, id] { m_open.erase(id); });
   };
   HttpCallEvents events;
@@ -127,24 +128,24 @@
   const EntryProcess& entry = *entries[m_random() % entries.size()];
   m_records.emplace_back();
   CallRecord& record = m_records.back();
-  record.id = "c" + std::to_string(++m_next);
+  record.id = "c" + std::to_string(++m_last_id);
   record.kind = static_cast<CallKind>(m_random() % 3);
   record.entry = entry.name;
-  record.began = MonotonicNow();
+  record.started_at = MonotonicNow();
   HttpCallRequest request = MakeCall(record.id, record.kind);
-  const auto end = [this, &record](bool broke) {
+  const auto end = [this, &record](bool aborted) {
     record.ended = true;
-    record.broke = broke;
+    record.aborted = aborted;
     record.ended_at = MonotonicNow();
     m_loop.Post([this, id = record.id] {
       m_open.erase(id);
-      m_limits.erase(id);
+      m_timeouts.erase(id);
     });
   };
   HttpCallEvents events;
   events.on_head = [&record](int status, const HttpHeaders& headers) {
     record.status = status;
-    record.answer_id = FindHeader(headers, "X-Attempt-Id");
+    record.response_id = FindHeader(headers, "X-Attempt-Id");
     record.seal = FindHeader(headers, "X-Runner-Seal");
   };
   events.on_bytes = [&record](std::string_view bytes) { record.body += bytes; };
@@ -153,28 +154,29 @@
   HttpClient& client = *m_clients[m_random() % m_clients.size()];
   m_open[record.id] =
       client.Start(entry.callers, std::move(request), std::move(events));
-  m_limits[record.id] =
-      m_loop.After(kPatience + kPatienceMargin, [this, &record] {
-        record.broke = true;
+  m_timeouts[record.id] =
+      m_loop.After(kDeadline + kCancelMargin, [this, &record] {
+        record.aborted = true;
         record.ended_at = MonotonicNow();
         m_open.erase(record.id);
       });
 }
 
-bool Callers::IsCalm(const CallRecord& record) const {
-  return std::none_of(
-      m_unplanned.begin(), m_unplanned.end(), [&record](TimePoint at) {
-        return at >= record.began - kAfterFault && at <= record.ended_at;
-      });
+bool Callers::IsUndisrupted(const CallRecord& record) const {
+  return std::none_of(m_disruptions.begin(), m_disruptions.end(),
+                      [&record](TimePoint at) {
+                        return at >= record.started_at - kDisruptionWindow &&
+                               at <= record.ended_at;
+                      });
 }
 
-void Callers::CheckAnswer(const CallRecord& record,
-                          std::vector<std::string>& violations) const {
+void Callers::CheckResponse(const CallRecord& record,
+                            std::vector<std::string>& violations) const {
   const std::string name = record.id + " at " + record.entry;
-  if (record.broke) {
-    const auto ran = m_runs.find(record.id);
-    const bool reached = ran != m_runs.end() && ran->second > 0;
-    if (reached && IsCalm(record)) {
+  if (record.aborted) {
+    const auto ran = m_run_counts.find(record.id);
+    const bool was_forwarded = ran != m_run_counts.end() && ran->second > 0;
+    if (was_forwarded && IsUndisrupted(record)) {
       violations.push_back(name + ": passed on and cut without a fault (" +
                            std::to_string(record.status) + ", " +
                            std::to_string(record.body.size()) + " bytes)");
@@ -190,48 +192,48 @@
     return;
   }
   const bool stream = record.kind == CallKind::kStream;
-  const bool whole = stream ? record.body == WholeStream()
-                            : record.body.starts_with("answer of p");
-  if (record.answer_id != record.id || record.seal.empty() || !whole) {
+  const bool complete = stream ? record.body == CompleteStream()
+                               : record.body.starts_with("answer of p");
+  if (record.response_id != record.id || record.seal.empty() || !complete) {
     violations.push_back(name + ": got another answer, or not all of it: " +
-                         record.answer_id + ", " + record.seal + ", " +
+                         record.response_id + ", " + record.seal + ", " +
                          std::to_string(record.body.size()) + " bytes");
   }
 }
 
-void Callers::CheckRuns(const CallRecord& record,
-                        std::vector<std::string>& violations) {
-  if (record.kind != CallKind::kOnce) {
+void Callers::CheckRunCount(const CallRecord& record,
+                            std::vector<std::string>& violations) {
+  if (record.kind != CallKind::kNonIdempotent) {
     return;
   }
-  const auto found = m_runs.find(record.id);
-  const int runs = found == m_runs.end() ? 0 : found->second;
+  const auto found = m_run_counts.find(record.id);
+  const int runs = found == m_run_counts.end() ? 0 : found->second;
   if (runs > 1) {
     violations.push_back(record.id + " ran " + std::to_string(runs) + " times");
   }
-  const bool promised =
-      !record.broke && (record.status == 503 || record.status == 429);
-  if (promised && runs > 0) {
+  const bool reported_not_run =
+      !record.aborted && (record.status == 503 || record.status == 429);
+  if (reported_not_run && runs > 0) {
     violations.push_back(record.id + " was told not to have run, and ran");
   }
 }
 
-void Callers::ReadRuns() {
-  m_runs.clear();
+void Callers::CountRuns() {
+  m_run_counts.clear();
   for (const auto* hosts : {&m_fleet.runners(), &m_fleet.plain()}) {
     for (const auto& host : *hosts) {
       for (const SeenRequest& seen : host->standin->seen()) {
-        ++m_runs[seen.id];
+        ++m_run_counts[seen.id];
       }
     }
   }
 }
 
 void Callers::Check(std::vector<std::string>& violations) {
-  ReadRuns();
+  CountRuns();
   for (const CallRecord& record : m_records) {
-    CheckAnswer(record, violations);
-    CheckRuns(record, violations);
+    CheckResponse(record, violations);
+    CheckRunCount(record, violations);
   }
 }
 
--- a/soak/soak_callers.h
+++ b/soak/soak_callers.h
@@ -16,19 +16,19 @@
 
 class Callers;
 
-enum class CallKind { kStream, kIdempotent, kOnce };
+enum class CallKind { kStream, kIdempotent, kNonIdempotent };
 
 struct CallRecord {
   std::string id;
   CallKind kind = CallKind::kStream;
   std::string entry;
-  TimePoint began;
+  TimePoint started_at;
   TimePoint ended_at;
   bool ended = false;
   /// The connection broke before the answer was whole.
-  bool broke = false;
+  bool aborted = false;
   int status = 0;
-  std::string answer_id;
+  std::string response_id;
   std::string seal;
   std::string body;
 };
@@ -67,7 +67,7 @@
   bool idle() const { return m_open.empty(); }
 
   /// Faults that may break a connection were at work at this time.
-  void NoteUnplanned(TimePoint now) { m_unplanned.push_back(now); }
+  void RecordDisruption(TimePoint now) { m_disruptions.push_back(now); }
 
   /// Checks all calls; to be called when none is open.
   void Check(std::vector<std::string>& violations);
@@ -80,12 +80,12 @@
 
  private:
   void Call();
-  void CheckAnswer(const CallRecord& record,
-                   std::vector<std::string>& violations) const;
-  void CheckRuns(const CallRecord& record,
-                 std::vector<std::string>& violations);
-  void ReadRuns();
-  bool IsCalm(const CallRecord& record) const;
+  void CheckResponse(const CallRecord& record,
+                     std::vector<std::string>& violations) const;
+  void CheckRunCount(const CallRecord& record,
+                     std::vector<std::string>& violations);
+  void CountRuns();
+  bool IsUndisrupted(const CallRecord& record) const;
 
   EventLoop& m_loop;
   Fleet& m_fleet;
@@ -95,11 +95,11 @@
   std::vector<std::unique_ptr<HttpClient>> m_clients;
   std::deque<CallRecord> m_records;
   std::map<std::string, std::unique_ptr<HttpCall>> m_open;
-  std::map<std::string, std::unique_ptr<Timer>> m_limits;
-  std::deque<TimePoint> m_unplanned;
+  std::map<std::string, std::unique_ptr<Timer>> m_timeouts;
+  std::deque<TimePoint> m_disruptions;
   /// How often each request ran, by id.
-  std::map<std::string, int> m_runs;
-  uint64_t m_next = 0;
+  std::map<std::string, int> m_run_counts;
+  uint64_t m_last_id = 0;
 };
 
 }  // namespace filbertrack::soak
--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kMaxLinkFault = Seconds(3);
-constexpr Duration kLongestPause = Seconds(3);
+constexpr Duration kMaxPause = Seconds(3);
 constexpr int kMaxDelayMs = 250;
 /// Runners that stay, so that a group can be formed.
 constexpr size_t kMinRunners = 4;
@@ -22,7 +22,7 @@
 void Faults::Start(Duration interval) {
   m_interval = interval;
   m_stopped = false;
-  Next();
+  ScheduleNext();
 }
 
 void Faults::Stop() {
@@ -31,91 +31,94 @@
     undo();
   }
   m_undo.clear();
-  m_callers.NoteUnplanned(MonotonicNow());
+  m_callers.RecordDisruption(MonotonicNow());
 }
 
-void Faults::Next() {
+void Faults::ScheduleNext() {
   std::exponential_distribution<double> gap(1 / ToSeconds(m_interval));
   const auto wait = FromSeconds(gap(m_random));
   m_loop.Call(wait, [this] {
     if (!m_stopped) {
-      Begin();
-      Next();
+      InjectFault();
+      ScheduleNext();
     }
   });
 }
 
-void Faults::Begin() {
+void Faults::InjectFault() {
   using Fault = void (Faults::*)();
   constexpr std::array<Fault, 12> kFaults = {
-      &Faults::PauseEntry,      &Faults::KillEntry,   &Faults::StopEntry,
-      &Faults::ReloadEntry,     &Faults::StoreFault,  &Faults::StoreLinkFault,
-      &Faults::RunnerLinkFault, &Faults::LoseRunner,  &Faults::DrainRunner,
-      &Faults::LapseRunner,     &Faults::LoseAnswers, &Faults::ChangeConfig};
+      &Faults::PauseEntry,      &Faults::KillEntry,
+      &Faults::StopEntry,       &Faults::ReloadEntry,
+      &Faults::StoreFault,      &Faults::StoreLinkFault,
+      &Faults::RunnerLinkFault, &Faults::KillRunner,
+      &Faults::DrainRunner,     &Faults::ExpireRegistration,
+      &Faults::DropResponses,   &Faults::ChangeConfig};
   ++m_count;
   (this->*kFaults[m_random() % kFaults.size()])();
 }
 
-void Faults::Later(Duration longest, std::function<void()> undo) {
+void Faults::UndoWithin(Duration max_delay, std::function<void()> undo) {
   // Undone once, by the timer or by Stop(), whichever comes first; undoing
   // twice does no harm.
   m_undo.push_back(undo);
   const auto wait = Duration(static_cast<int64_t>(
-      m_random() % static_cast<uint64_t>(longest.count())));
-  m_callers.NoteUnplanned(MonotonicNow());
+      m_random() % static_cast<uint64_t>(max_delay.count())));
+  m_callers.RecordDisruption(MonotonicNow());
   m_loop.Call(wait, [this, undo = std::move(undo)] {
-    m_callers.NoteUnplanned(MonotonicNow());
+    m_callers.RecordDisruption(MonotonicNow());
     undo();
   });
 }
 
-EntryProcess& Faults::AnyEntry() {
+EntryProcess& Faults::RandomEntry() {
   auto& entries = m_fleet.entries();
   return *entries[m_random() % entries.size()];
 }
 
-RunnerHost* Faults::AnyLiving(std::vector<std::unique_ptr<RunnerHost>>& hosts) {
-  std::vector<RunnerHost*> living;
+RunnerHost* Faults::RandomLiveRunner(
+    std::vector<std::unique_ptr<RunnerHost>>& hosts) {
+  std::vector<RunnerHost*> live;
   for (const auto& host : hosts) {
     if (!host->standin->is_dead()) {
-      living.push_back(host.get());
+      live.push_back(host.get());
     }
   }
-  return living.empty() ? nullptr : living[m_random() % living.size()];
+  return live.empty() ? nullptr : live[m_random() % live.size()];
 }
 
 void Faults::PauseEntry() {
-  EntryProcess& entry = AnyEntry();
+  EntryProcess& entry = RandomEntry();
   entry.paused = true;
-  entry.disturbed.push_back(MonotonicNow());
+  entry.disruptions.push_back(MonotonicNow());
   entry.process->Signal(SIGSTOP);
-  Later(kLongestPause, [&entry] {
+  UndoWithin(kMaxPause, [&entry] {
     entry.paused = false;
-    entry.disturbed.push_back(MonotonicNow());
+    entry.disruptions.push_back(MonotonicNow());
     entry.process->Signal(SIGCONT);
   });
 }
 
 void Faults::KillEntry() {
-  EntryProcess& entry = AnyEntry();
-  m_callers.NoteUnplanned(MonotonicNow());
-  entry.ending_since = MonotonicNow();
+  EntryProcess& entry = RandomEntry();
+  m_callers.RecordDisruption(MonotonicNow());
+  entry.end_signalled_at = MonotonicNow();
   entry.killed = true;
-  entry.disturbed.push_back(MonotonicNow());
+  entry.disruptions.push_back(MonotonicNow());
   entry.process->Signal(SIGKILL);
 }
 
 void Faults::StopEntry() {
-  EntryProcess& entry = AnyEntry();
-  if (!entry.ending_since) {
-    entry.ending_since = MonotonicNow();
+  EntryProcess& entry = RandomEntry();
+  if (!entry.end_signalled_at) {
+    entry.end_signalled_at = MonotonicNow();
   }
-  entry.disturbed.push_back(MonotonicNow());
+  entry.disruptions.push_back(MonotonicNow());
   entry.process->Signal(SIGTERM);
 }
 
 void Faults::ReloadEntry() {
-  AnyEntry().process->Signal(SIGHUP);
+  RandomEntry().process->Signal(SIGHUP);
 }
 
 void Faults::StoreFault() {
@@ -123,11 +126,11 @@
   switch (m_random() % 4) {
     case 0:
       faults.refuse_with = 503;
-      Later(kMaxLinkFault, [&faults] { faults.refuse_with = 0; });
+      UndoWithin(kMaxLinkFault, [&faults] { faults.refuse_with = 0; });
       return;
     case 1:
       faults.silent = true;
-      Later(kMaxLinkFault, [&faults] { faults.silent = false; });
+      UndoWithin(kMaxLinkFault, [&faults] { faults.silent = false; });
       return;
     case 2:
       faults.lost_writes += 2;
@@ -138,7 +141,7 @@
 }
 
 void Faults::StoreLinkFault() {
-  Proxy& proxy = *AnyEntry().store;
+  Proxy& proxy = *RandomEntry().store;
   ProxyFaults& faults = proxy.faults();
   switch (m_random() % 4) {
     case 0:
@@ -155,7 +158,7 @@
       faults.refuses = true;
       proxy.ResetAll();
   }
-  Later(kMaxLinkFault, [&proxy] {
+  UndoWithin(kMaxLinkFault, [&proxy] {
     proxy.faults() = {};
     // Bytes were lost on these; they cannot go on.
     proxy.ResetAll();
@@ -164,12 +167,12 @@
 
 void Faults::RunnerLinkFault() {
   auto& hosts = m_random() % 2 == 0 ? m_fleet.runners() : m_fleet.plain();
-  RunnerHost* host = AnyLiving(hosts);
+  RunnerHost* host = RandomLiveRunner(hosts);
   if (host == nullptr) {
     return;
   }
   Proxy& proxy = *host->proxy;
-  host->disturbed.push_back(MonotonicNow());
+  host->disruptions.push_back(MonotonicNow());
   switch (m_random() % 4) {
     case 0:
       proxy.faults().delay =
@@ -184,60 +187,61 @@
     default:
       proxy.ResetAll();
   }
-  Later(kMaxLinkFault, [host, &proxy] {
-    host->disturbed.push_back(MonotonicNow());
+  UndoWithin(kMaxLinkFault, [host, &proxy] {
+    host->disruptions.push_back(MonotonicNow());
     proxy.faults() = {};
     proxy.ResetAll();
   });
 }
 
-void Faults::LoseRunner() {
-  RunnerHost* host = AnyLiving(m_fleet.runners());
-  const auto living =
+void Faults::KillRunner() {
+  RunnerHost* host = RandomLiveRunner(m_fleet.runners());
+  const auto live =
       std::count_if(m_fleet.runners().begin(), m_fleet.runners().end(),
                     [](const auto& each) { return !each->standin->is_dead(); });
-  if (host == nullptr || static_cast<size_t>(living) <= kMinRunners) {
+  if (host == nullptr || static_cast<size_t>(live) <= kMinRunners) {
     return;
   }
-  m_callers.NoteUnplanned(MonotonicNow());
+  m_callers.RecordDisruption(MonotonicNow());
   host->standin->Die();
   m_fleet.AddRunner();
 }
 
 void Faults::DrainRunner() {
-  RunnerHost* host = AnyLiving(m_fleet.runners());
+  RunnerHost* host = RandomLiveRunner(m_fleet.runners());
   if (host == nullptr) {
     return;
   }
   host->standin->Register("draining");
   m_fleet.AddRunner();
-  Later(Seconds(6), [host] {
+  UndoWithin(Seconds(6), [host] {
     if (!host->standin->is_dead()) {
       host->standin->Die();
     }
   });
 }
 
-void Faults::LapseRunner() {
-  RunnerHost* host = AnyLiving(m_fleet.runners());
+void Faults::ExpireRegistration() {
+  RunnerHost* host = RandomLiveRunner(m_fleet.runners());
   if (host == nullptr) {
     return;
   }
-  host->standin->Lapse();
-  Later(Seconds(4), [host] {
+  host->standin->ExpireRegistration();
+  UndoWithin(Seconds(4), [host] {
     if (!host->standin->is_dead()) {
       host->standin->Register("ready");
     }
   });
 }
 
-void Faults::LoseAnswers() {
-  RunnerHost* host = AnyLiving(m_fleet.plain());
+void Faults::DropResponses() {
+  RunnerHost* host = RandomLiveRunner(m_fleet.plain());
   if (host == nullptr) {
     return;
   }
-  host->standin->SetLosesAnswers(true);
-  Later(kMaxLinkFault, [host] { host->standin->SetLosesAnswers(false); });
+  host->standin->SetDropsResponses(true);
+  UndoWithin(kMaxLinkFault,
+             [host] { host->standin->SetDropsResponses(false); });
 }
 
 void Faults::ChangeConfig() {
--- a/soak/soak_faults.h
+++ b/soak/soak_faults.h
@@ -21,14 +21,14 @@
   int count() const { return m_count; }
 
  private:
-  void Next();
-  void Begin();
+  void ScheduleNext();
+  void InjectFault();
   /// Undoes something after a random time of up to `longest`.
-  void Later(Duration longest, std::function<void()> undo);
+  void UndoWithin(Duration max_delay, std::function<void()> undo);
 
-  EntryProcess& AnyEntry();
+  EntryProcess& RandomEntry();
   /// Null: none is left.
-  RunnerHost* AnyLiving(std::vector<std::unique_ptr<RunnerHost>>& hosts);
+  RunnerHost* RandomLiveRunner(std::vector<std::unique_ptr<RunnerHost>>& hosts);
 
   void PauseEntry();
   void KillEntry();
@@ -37,10 +37,10 @@
   void StoreFault();
   void StoreLinkFault();
   void RunnerLinkFault();
-  void LoseRunner();
+  void KillRunner();
   void DrainRunner();
-  void LapseRunner();
-  void LoseAnswers();
+  void ExpireRegistration();
+  void DropResponses();
   void ChangeConfig();
 
   EventLoop& m_loop;
--- a/soak/soak_fleet.cc
+++ b/soak/soak_fleet.cc
@@ -27,7 +27,7 @@
 /// The host of all entry hosts of one run. Runs beside each other have their
 /// own: a port that is free when it is chosen could be another run's when its
 /// process starts, or starts again, and the process would end each time.
-std::string RunHost() {
+std::string RunAddress() {
   constexpr unsigned kHosts = 250;
   const auto pid = static_cast<unsigned>(getpid());
   return "127." + std::to_string(1 + pid % kHosts) + "." +
@@ -36,7 +36,7 @@
 
 /// A port that the kernel has free now.
 Address FreeAddress() {
-  const std::string host = RunHost();
+  const std::string host = RunAddress();
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in at{};
   at.sin_family = AF_INET;
@@ -53,18 +53,18 @@
 /// Addresses that are free and were not given out before. The kernel may name a
 /// port again that no process listens on yet, and the second process that gets
 /// it would end at each start.
-class AddressPicker {
+class AddressAllocator {
  public:
   Address Next() {
     Address address = FreeAddress();
-    while (!m_given.insert(address.port).second) {
+    while (!m_allocated.insert(address.port).second) {
       address = FreeAddress();
     }
     return address;
   }
 
  private:
-  std::set<uint16_t> m_given;
+  std::set<uint16_t> m_allocated;
 };
 
 /// Entry hosts stand in several data centres, so that in fleets of more than a
@@ -93,7 +93,7 @@
 Fleet::~Fleet() = default;
 
 bool Fleet::Start() {
-  AddressPicker addresses;
+  AddressAllocator addresses;
   for (int i = 0; i < m_options.entry_hosts; ++i) {
     auto entry = std::make_unique<EntryProcess>();
     entry->name = "e" + std::to_string(i);
@@ -109,7 +109,7 @@
              << "[peers]\nlisten = " << addresses.Next().ToString() << "\n"
              << "[store]\naddress = " << entry->store->address().ToString()
              << "\n[stop]\ngrace = " << ToMilliseconds(kGrace) << "ms\n"
-             << "[groups]\nstall = " << ToMilliseconds(kStall)
+             << "[groups]\nstall = " << ToMilliseconds(kHeadStallTimeout)
              << "ms\nspares_per_domain = 1\n";
     settings.close();
     entry->process = std::make_unique<Process>(
@@ -131,7 +131,7 @@
   options.is_plain = plain;
   options.observer = this;
   options.events = kStreamEvents;
-  options.ends_on = kPoisonBody;
+  options.crash_trigger = kPoisonBody;
   options.domain = "d" + std::to_string(m_next_runner % kDomains);
   options.published = [this, &host](const Address& listening) {
     host->proxy = std::make_unique<Proxy>(m_loop, listening);
@@ -164,14 +164,14 @@
   m_store.Put("config", "main", config);
 }
 
-PlatformRunnerStandin* Fleet::Find(std::string_view id) {
+PlatformRunnerStandin* Fleet::FindRunner(std::string_view id) {
   const auto found = std::find_if(
       m_runners.begin(), m_runners.end(),
       [id](const auto& host) { return host->standin->id() == id; });
   return found == m_runners.end() ? nullptr : (*found)->standin.get();
 }
 
-int Fleet::CountOpen() const {
+int Fleet::CountOpenGroups() const {
   return static_cast<int>(
       std::count_if(m_runners.begin(), m_runners.end(), [](const auto& host) {
         return !host->standin->is_dead() && host->standin->is_open();
@@ -187,11 +187,12 @@
       const bool is_head = !head.members().empty() &&
                            head.members().front() == head.id() &&
                            head.group() == last->second;
-      const bool takes = head.state() == "open" || head.state() == "closing";
-      const auto still = m_still_since.find(head.group());
-      const bool broken = still != m_still_since.end() &&
-                          MonotonicNow() - still->second >= kStall;
-      if (is_head && takes && !head.is_dead() && !broken) {
+      const bool serves = head.state() == "open" || head.state() == "closing";
+      const auto incomplete_since = m_incomplete_since.find(head.group());
+      const bool broken =
+          incomplete_since != m_incomplete_since.end() &&
+          MonotonicNow() - incomplete_since->second >= kHeadStallTimeout;
+      if (is_head && serves && !head.is_dead() && !broken) {
         m_violations.push_back(runner.id() + " joined " + group +
                                " while the head of " + head.group() + ", " +
                                head.id() + ", was " + head.state());
@@ -203,7 +204,7 @@
 
 void Fleet::OnOpen(const PlatformRunnerStandin& runner) {
   for (const std::string& id : runner.members()) {
-    const PlatformRunnerStandin* member = Find(id);
+    const PlatformRunnerStandin* member = FindRunner(id);
     const bool ready = member != nullptr && member->group() == runner.group() &&
                        member->epoch() == runner.epoch() &&
                        member->state() == "ready";
@@ -233,18 +234,18 @@
       continue;
     }
     const auto& members = head.members();
-    const bool whole =
+    const bool complete =
         std::all_of(members.begin(), members.end(), [&](const std::string& id) {
-          const PlatformRunnerStandin* member = Find(id);
+          const PlatformRunnerStandin* member = FindRunner(id);
           return member != nullptr && !member->is_dead() &&
                  member->group() == head.group() &&
                  member->epoch() == head.epoch();
         });
-    if (whole) {
-      m_still_since.erase(head.group());
-    } else if (now -
-                   m_still_since.try_emplace(head.group(), now).first->second >=
-               kStall) {
+    if (complete) {
+      m_incomplete_since.erase(head.group());
+    } else if (now - m_incomplete_since.try_emplace(head.group(), now)
+                         .first->second >=
+               kHeadStallTimeout) {
       head.Break();
     }
   }
@@ -253,8 +254,8 @@
 void Fleet::WatchProcesses() {
   const TimePoint now = MonotonicNow();
   for (const auto& entry : m_entries) {
-    const auto end = entry->process->TakeEnd();
-    if (end && !entry->ending_since) {
+    const auto end = entry->process->TakeExitStatus();
+    if (end && !entry->end_signalled_at) {
       m_violations.push_back(entry->name + " ended by itself with " +
                              std::to_string(*end));
     } else if (end && !entry->killed && *end != 0) {
@@ -263,13 +264,13 @@
     }
     if (end) {
       // The platform starts it again.
-      entry->ending_since.reset();
+      entry->end_signalled_at.reset();
       entry->killed = false;
       entry->paused = false;
-      entry->disturbed.push_back(now);
+      entry->disruptions.push_back(now);
       entry->process->Start();
-    } else if (entry->ending_since && !entry->killed && !entry->paused &&
-               now - *entry->ending_since > kGrace + kGraceMargin) {
+    } else if (entry->end_signalled_at && !entry->killed && !entry->paused &&
+               now - *entry->end_signalled_at > kGrace + kGraceMargin) {
       m_violations.push_back(entry->name + " still runs after its grace time");
       entry->killed = true;
       entry->process->Signal(SIGKILL);
--- a/soak/soak_fleet.h
+++ b/soak/soak_fleet.h
@@ -19,7 +19,7 @@
 
 /// A head that lost a member holds its requests for this long. Shorter than the
 /// users' 5 s, so that more repairs fit into a run.
-inline constexpr Duration kStall = Milliseconds(1500);
+inline constexpr Duration kHeadStallTimeout = Milliseconds(1500);
 inline constexpr Duration kGrace = Seconds(5);
 /// Events of each streamed answer.
 inline constexpr int kStreamEvents = 25;
@@ -44,17 +44,17 @@
   std::unique_ptr<Process> process;
   bool paused = false;
   /// A signal that ends it was sent; its end is no fault of its own.
-  std::optional<TimePoint> ending_since;
+  std::optional<TimePoint> end_signalled_at;
   bool killed = false;
   /// When it was started, stopped, paused or woken.
-  std::vector<TimePoint> disturbed;
+  std::vector<TimePoint> disruptions;
 };
 
 struct RunnerHost {
   std::unique_ptr<PlatformRunnerStandin> standin;
   std::unique_ptr<Proxy> proxy;
   /// When faults of its link began and ended.
-  std::vector<TimePoint> disturbed;
+  std::vector<TimePoint> disruptions;
 };
 
 class Fleet : public RunnerObserver {
@@ -79,7 +79,7 @@
   std::vector<std::unique_ptr<EntryProcess>>& entries() { return m_entries; }
   std::vector<std::unique_ptr<RunnerHost>>& runners() { return m_runners; }
   std::vector<std::unique_ptr<RunnerHost>>& plain() { return m_plain; }
-  int CountOpen() const;
+  int CountOpenGroups() const;
   /// Runners that a request has ended.
   int crashes() const { return m_crashes; }
 
@@ -87,7 +87,7 @@
 
  private:
   std::unique_ptr<RunnerHost> MakeHost(const std::string& id, bool plain);
-  PlatformRunnerStandin* Find(std::string_view id);
+  PlatformRunnerStandin* FindRunner(std::string_view id);
   /// Heads whose group lost a member break after the stall.
   void BreakHeads();
   void WatchProcesses();
@@ -99,7 +99,7 @@
   std::vector<std::unique_ptr<RunnerHost>> m_runners;
   std::vector<std::unique_ptr<RunnerHost>> m_plain;
   /// Since when the head of each group stands still.
-  std::map<std::string, TimePoint> m_still_since;
+  std::map<std::string, TimePoint> m_incomplete_since;
   /// Last group of each runner.
   std::map<std::string, std::string> m_last_group;
   std::vector<std::string> m_violations;
--- a/soak/soak_process.cc
+++ b/soak/soak_process.cc
@@ -50,7 +50,7 @@
   }
 }
 
-std::optional<int> Process::TakeEnd() {
+std::optional<int> Process::TakeExitStatus() {
   int status = 0;
   if (!IsRunning() || waitpid(m_pid, &status, WNOHANG) != m_pid) {
     return std::nullopt;
--- a/soak/soak_process.h
+++ b/soak/soak_process.h
@@ -27,7 +27,7 @@
   bool IsRunning() const { return m_pid > 0; }
 
   /// How it ended, once: its exit code, or minus the signal that ended it.
-  std::optional<int> TakeEnd();
+  std::optional<int> TakeExitStatus();
 
  private:
   std::string m_program;
--- a/soak/soak_proxy.cc
+++ b/soak/soak_proxy.cc
@@ -31,50 +31,51 @@
 }
 
 void Proxy::ResetAll() {
-  while (!m_pairs.empty()) {
+  while (!m_connections.empty()) {
     // The list lets go of it while it is ended.
-    const std::shared_ptr<Pair> first = m_pairs.front();
-    End(first);
+    const std::shared_ptr<Connection> first = m_connections.front();
+    CloseConnection(first);
   }
 }
 
 void Proxy::OnAccept(evconnlistener*, int fd, sockaddr*, int, void* self) {
   auto* proxy = static_cast<Proxy*>(self);
-  auto pair = std::make_shared<Pair>();
-  pair->client = TcpStream::Accepted(proxy->m_loop, fd);
+  auto connection = std::make_shared<Connection>();
+  connection->client = TcpStream::Accepted(proxy->m_loop, fd);
   if (proxy->m_faults.refuses) {
-    pair->client->Close();
+    connection->client->Close();
     return;
   }
-  pair->server = TcpStream::Connect(proxy->m_loop, proxy->m_server);
-  proxy->m_pairs.push_back(pair);
-  const auto end = [proxy, weak = std::weak_ptr(pair)](StreamEnd) {
-    if (const auto ended = weak.lock()) {
-      proxy->End(ended);
+  connection->server = TcpStream::Connect(proxy->m_loop, proxy->m_server);
+  proxy->m_connections.push_back(connection);
+  const auto end = [proxy, weak = std::weak_ptr(connection)](StreamEnd) {
+    if (const auto closing = weak.lock()) {
+      proxy->CloseConnection(closing);
     }
   };
-  const auto pass = [proxy, weak = std::weak_ptr(pair)](bool to_server) {
+  const auto forward = [proxy,
+                        weak = std::weak_ptr(connection)](bool to_server) {
     return [proxy, weak, to_server](std::string_view bytes) {
-      if (const auto open = weak.lock()) {
-        proxy->Pass(open, to_server, bytes);
+      if (const auto connection_open = weak.lock()) {
+        proxy->Forward(connection_open, to_server, bytes);
       }
     };
   };
-  pair->client->Start({{}, pass(true), end, {}});
-  pair->server->Start({{}, pass(false), end, {}});
+  connection->client->Start({{}, forward(true), end, {}});
+  connection->server->Start({{}, forward(false), end, {}});
 }
 
-void Proxy::Pass(const std::shared_ptr<Pair>& pair,
-                 bool to_server,
-                 std::string_view bytes) {
+void Proxy::Forward(const std::shared_ptr<Connection>& connection,
+                    bool to_server,
+                    std::string_view bytes) {
   const bool drops =
       to_server ? m_faults.drops_to_server : m_faults.drops_to_client;
-  if (drops || pair->closed) {
+  if (drops || connection->closed) {
     return;
   }
-  const auto write = [pair, to_server, text = std::string(bytes)] {
-    const auto& stream = to_server ? pair->server : pair->client;
-    if (!pair->closed && stream->is_open()) {
+  const auto write = [connection, to_server, text = std::string(bytes)] {
+    const auto& stream = to_server ? connection->server : connection->client;
+    if (!connection->closed && stream->is_open()) {
       stream->Write(text);
     }
   };
@@ -83,19 +84,19 @@
   m_loop.Call(m_faults.delay, write);
 }
 
-void Proxy::End(const std::shared_ptr<Pair>& pair) {
-  if (m_pairs.remove(pair) == 0) {
+void Proxy::CloseConnection(const std::shared_ptr<Connection>& connection) {
+  if (m_connections.remove(connection) == 0) {
     return;
   }
   // What was read before the end is still to be passed on.
-  m_loop.Call(m_faults.delay, [pair] {
-    pair->closed = true;
-    pair->client->ShutDown();
-    pair->server->ShutDown();
+  m_loop.Call(m_faults.delay, [connection] {
+    connection->closed = true;
+    connection->client->ShutDown();
+    connection->server->ShutDown();
   });
-  m_loop.Call(m_faults.delay + Milliseconds(50), [pair] {
-    pair->client->Close();
-    pair->server->Close();
+  m_loop.Call(m_faults.delay + Milliseconds(50), [connection] {
+    connection->client->Close();
+    connection->server->Close();
   });
 }
 
--- a/soak/soak_proxy.h
+++ b/soak/soak_proxy.h
@@ -39,7 +39,7 @@
   void ResetAll();
 
  private:
-  struct Pair {
+  struct Connection {
     std::shared_ptr<TcpStream> client;
     std::shared_ptr<TcpStream> server;
     bool closed = false;
@@ -50,17 +50,17 @@
                        sockaddr* from,
                        int size,
                        void* self);
-  void Pass(const std::shared_ptr<Pair>& pair,
-            bool to_server,
-            std::string_view bytes);
-  void End(const std::shared_ptr<Pair>& pair);
+  void Forward(const std::shared_ptr<Connection>& connection,
+               bool to_server,
+               std::string_view bytes);
+  void CloseConnection(const std::shared_ptr<Connection>& connection);
 
   EventLoop& m_loop;
   Address m_server;
   Address m_address;
   ProxyFaults m_faults;
   evconnlistener* m_listener;
-  std::list<std::shared_ptr<Pair>> m_pairs;
+  std::list<std::shared_ptr<Connection>> m_connections;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/soak/soak_signals.cc
+++ b/soak/soak_signals.cc
@@ -10,18 +10,18 @@
 // What the platform allows.
 
 /// A limit holds from this long after it was first named.
-constexpr Duration kLimitSettle = Seconds(3);
+constexpr Duration kLimitSettleTime = Seconds(3);
 constexpr Duration kLimitWindow = Seconds(4);
 /// Requests in a window beyond one and a half times the limit.
 constexpr double kLimitSlack = 5;
-constexpr double kLimitOver = 1.5;
+constexpr double kLimitFactor = 1.5;
 /// An entry host counts that had passed on the limit so long before, in the
 /// same process and not paused since.
-constexpr Duration kTold = Milliseconds(500);
+constexpr Duration kForwardDelay = Milliseconds(500);
 /// Requests of one entry host to a server that asked it for rest, from half a
 /// second after that to the end.
-constexpr Duration kRestGrace = Milliseconds(500);
-constexpr size_t kMaxWhileResting = 2;
+constexpr Duration kRetryAfterGrace = Milliseconds(500);
+constexpr size_t kMaxDuringRetryAfter = 2;
 /// A call that began this long after an entry host had passed on that a server
 /// leaves does not reach that server from it.
 constexpr Duration kLeavingGrace = Seconds(2);
@@ -31,15 +31,15 @@
 
 // What servers say.
 
-constexpr Duration kMinLimit = Seconds(7);
-constexpr Duration kMoreLimit = Seconds(6);
-constexpr Duration kMinRefusing = Milliseconds(500);
-constexpr Duration kMoreRefusing = Seconds(2);
-constexpr Duration kMinRest = Seconds(1);
-constexpr Duration kMoreRest = Seconds(3);
-constexpr Duration kLeaves = Seconds(5);
+constexpr Duration kMinLimitDuration = Seconds(7);
+constexpr Duration kLimitDurationRange = Seconds(6);
+constexpr Duration kMinRefusalDuration = Milliseconds(500);
+constexpr Duration kRefusalDurationRange = Seconds(2);
+constexpr Duration kMinRetryAfter = Seconds(1);
+constexpr Duration kRetryAfterRange = Seconds(3);
+constexpr Duration kLeavingDuration = Seconds(5);
 /// Servers that say nothing, so that callers are served.
-constexpr size_t kMinQuiet = 2;
+constexpr size_t kMinUnsignalledServers = 2;
 
 bool AnyWithin(const std::vector<TimePoint>& times,
                TimePoint begin,
@@ -53,9 +53,9 @@
 }
 
 /// A time between `least` and `least` + `more`.
-Duration Draw(std::mt19937_64& random, Duration least, Duration more) {
-  return least + Duration(static_cast<int64_t>(
-                     random() % static_cast<uint64_t>(more.count())));
+Duration RandomDuration(std::mt19937_64& random, Duration min, Duration range) {
+  return min + Duration(static_cast<int64_t>(
+                   random() % static_cast<uint64_t>(range.count())));
 }
 
 }  // namespace
@@ -66,65 +66,67 @@
 void Signals::Start(Duration interval) {
   m_interval = interval;
   m_stopped = false;
-  Next();
+  ScheduleNext();
 }
 
 void Signals::Stop() {
   m_stopped = true;
   const TimePoint now = MonotonicNow();
-  for (Span& span : m_spans) {
-    span.end = std::min(span.end, now);
-    if (span.kind != Kind::kLeaving) {
-      span.host->standin->SetLimit({});
-      span.host->standin->SetFull(false);
-      span.host->standin->SetRest({});
+  for (SignalPeriod& period : m_periods) {
+    period.end = std::min(period.end, now);
+    if (period.kind != Kind::kLeaving) {
+      period.host->standin->SetLimit({});
+      period.host->standin->SetFull(false);
+      period.host->standin->SetRetryAfter({});
     }
   }
 }
 
-void Signals::Next() {
+void Signals::ScheduleNext() {
   std::exponential_distribution<double> gap(1 / ToSeconds(m_interval));
   m_loop.Call(FromSeconds(gap(m_random)), [this] {
     if (!m_stopped) {
-      Begin();
-      Next();
+      StartSignal();
+      ScheduleNext();
     }
   });
 }
 
-RunnerHost* Signals::AnyQuiet() {
+RunnerHost* Signals::RandomUnsignalledServer() {
   auto& hosts = m_random() % 2 == 0 ? m_fleet.runners() : m_fleet.plain();
-  std::vector<RunnerHost*> quiet;
+  std::vector<RunnerHost*> candidates;
   for (const auto& host : hosts) {
     const PlatformRunnerStandin& server = *host->standin;
     const bool serves =
         !server.is_dead() && (server.is_open() || &hosts == &m_fleet.plain());
     if (serves && !m_active.contains(host.get())) {
-      quiet.push_back(host.get());
+      candidates.push_back(host.get());
     }
   }
-  return quiet.size() <= kMinQuiet ? nullptr : quiet[m_random() % quiet.size()];
+  return candidates.size() <= kMinUnsignalledServers
+             ? nullptr
+             : candidates[m_random() % candidates.size()];
 }
 
-void Signals::Begin() {
-  RunnerHost* host = AnyQuiet();
+void Signals::StartSignal() {
+  RunnerHost* host = RandomUnsignalledServer();
   if (host == nullptr) {
     return;
   }
   switch (m_random() % 4) {
     case 0:
     case 1:
-      BeginLimit(*host);
+      StartLimit(*host);
       return;
     case 2:
-      BeginRest(*host);
+      StartRefusals(*host);
       return;
     default:
-      BeginLeaving(*host);
+      StartLeaving(*host);
   }
 }
 
-void Signals::EndAfter(Duration time, std::function<void()> undo) {
+void Signals::UndoAfter(Duration time, std::function<void()> undo) {
   m_loop.Call(time, [this, undo = std::move(undo)] {
     if (!m_stopped) {
       undo();
@@ -132,38 +134,43 @@
   });
 }
 
-void Signals::BeginLimit(RunnerHost& host) {
+void Signals::StartLimit(RunnerHost& host) {
   const double limit = 0.2 + static_cast<double>(m_random() % 40) / 10;
-  const Duration lasts = Draw(m_random, kMinLimit, kMoreLimit);
+  const Duration lasts =
+      RandomDuration(m_random, kMinLimitDuration, kLimitDurationRange);
   const TimePoint now = MonotonicNow();
   m_active.insert(&host);
-  m_spans.push_back({Kind::kLimit, &host, now, now + lasts, limit, {}});
+  m_periods.push_back({Kind::kLimit, &host, now, now + lasts, limit, {}});
   host.standin->SetLimit(limit);
-  EndAfter(lasts, [this, &host] {
+  UndoAfter(lasts, [this, &host] {
     host.standin->SetLimit({});
     m_active.erase(&host);
   });
 }
 
-void Signals::BeginRest(RunnerHost& host) {
-  const Duration lasts = Draw(m_random, kMinRefusing, kMoreRefusing);
-  const Duration rest = Draw(m_random, kMinRest, kMoreRest);
+void Signals::StartRefusals(RunnerHost& host) {
+  const Duration lasts =
+      RandomDuration(m_random, kMinRefusalDuration, kRefusalDurationRange);
+  const Duration retry_after =
+      RandomDuration(m_random, kMinRetryAfter, kRetryAfterRange);
   const TimePoint now = MonotonicNow();
   m_active.insert(&host);
-  m_spans.push_back({Kind::kRest, &host, now, now + lasts, 0, rest});
-  host.standin->SetRest(rest);
+  m_periods.push_back(
+      {Kind::kRetryAfter, &host, now, now + lasts, 0, retry_after});
+  host.standin->SetRetryAfter(retry_after);
   host.standin->SetFull(true);
-  EndAfter(lasts, [this, &host] {
+  UndoAfter(lasts, [this, &host] {
     host.standin->SetFull(false);
-    host.standin->SetRest({});
+    host.standin->SetRetryAfter({});
     m_active.erase(&host);
   });
 }
 
-void Signals::BeginLeaving(RunnerHost& host) {
+void Signals::StartLeaving(RunnerHost& host) {
   const TimePoint now = MonotonicNow();
   m_active.insert(&host);
-  m_spans.push_back({Kind::kLeaving, &host, now, now + kLeaves, 0, {}});
+  m_periods.push_back(
+      {Kind::kLeaving, &host, now, now + kLeavingDuration, 0, {}});
   host.standin->SetLeaving(true);
   const bool is_plain =
       std::any_of(m_fleet.plain().begin(), m_fleet.plain().end(),
@@ -174,9 +181,9 @@
     m_fleet.AddRunner();
   }
   // As a server does that ends without a word to the store.
-  m_loop.Call(kLeaves, [&host] {
+  m_loop.Call(kLeavingDuration, [&host] {
     if (!host.standin->is_dead()) {
-      host.standin->Lapse();
+      host.standin->ExpireRegistration();
     }
   });
 }
@@ -201,33 +208,35 @@
   return arrivals;
 }
 
-bool Signals::WasTold(const Span& span,
-                      const Callers& callers,
-                      const Arrival& arrival) const {
+bool Signals::HadReceivedSignal(const SignalPeriod& period,
+                                const Callers& callers,
+                                const Arrival& arrival) const {
   if (arrival.entry == nullptr) {
     return false;
   }
-  const std::string seal = SealOf(*span.host);
-  return std::any_of(
-      callers.records().begin(), callers.records().end(),
-      [&](const CallRecord& record) {
-        return record.entry == arrival.entry->name && record.seal == seal &&
-               record.began >= span.begin &&
-               record.ended_at <= arrival.at - kTold &&
-               !AnyWithin(arrival.entry->disturbed, record.began, arrival.at);
-      });
+  const std::string seal = SealOf(*period.host);
+  return std::any_of(callers.records().begin(), callers.records().end(),
+                     [&](const CallRecord& record) {
+                       return record.entry == arrival.entry->name &&
+                              record.seal == seal &&
+                              record.started_at >= period.begin &&
+                              record.ended_at <= arrival.at - kForwardDelay &&
+                              !AnyWithin(arrival.entry->disruptions,
+                                         record.started_at, arrival.at);
+                     });
 }
 
-void Signals::CheckLimit(const Span& span,
+void Signals::CheckLimit(const SignalPeriod& period,
                          const Callers& callers,
                          std::vector<std::string>& violations) {
-  std::vector<Arrival> arrivals = ArrivalsAt(*span.host);
+  std::vector<Arrival> arrivals = ArrivalsAt(*period.host);
   std::erase_if(arrivals, [&](const Arrival& arrival) {
-    return arrival.at < span.begin + kLimitSettle || arrival.at > span.end ||
-           !WasTold(span, callers, arrival);
+    return arrival.at < period.begin + kLimitSettleTime ||
+           arrival.at > period.end ||
+           !HadReceivedSignal(period, callers, arrival);
   });
-  const double most =
-      kLimitOver * span.limit * ToSeconds(kLimitWindow) + kLimitSlack;
+  const double max_requests =
+      kLimitFactor * period.limit * ToSeconds(kLimitWindow) + kLimitSlack;
   size_t begin = 0;
   for (size_t i = 0; i < arrivals.size(); ++i) {
     ++m_checked;
@@ -235,78 +244,79 @@
       ++begin;
     }
     const size_t count = i - begin + 1;
-    if (static_cast<double>(count) > most) {
-      violations.push_back(span.host->standin->id() + ", limit " +
-                           std::to_string(span.limit) + ", got " +
+    if (static_cast<double>(count) > max_requests) {
+      violations.push_back(period.host->standin->id() + ", limit " +
+                           std::to_string(period.limit) + ", got " +
                            std::to_string(count) + " requests in 4 s");
       return;
     }
   }
 }
 
-void Signals::CheckRest(const Span& span,
-                        std::vector<std::string>& violations) {
-  const std::vector<Arrival> arrivals = ArrivalsAt(*span.host);
-  for (const Arrival& told : arrivals) {
-    if (!told.refused || told.entry == nullptr || told.at < span.begin ||
-        told.at > span.end) {
+void Signals::CheckRetryAfter(const SignalPeriod& period,
+                              std::vector<std::string>& violations) {
+  const std::vector<Arrival> arrivals = ArrivalsAt(*period.host);
+  for (const Arrival& notified : arrivals) {
+    if (!notified.refused || notified.entry == nullptr ||
+        notified.at < period.begin || notified.at > period.end) {
       continue;
     }
     // The refusal may not have reached the entry host, or not been kept.
-    const TimePoint end = told.at + span.rest;
-    if (AnyWithin(span.host->disturbed, told.at - kMaxFault, end) ||
-        AnyWithin(told.entry->disturbed, told.at - kMaxFault, end)) {
+    const TimePoint end = notified.at + period.retry_after;
+    if (AnyWithin(period.host->disruptions, notified.at - kMaxFault, end) ||
+        AnyWithin(notified.entry->disruptions, notified.at - kMaxFault, end)) {
       continue;
     }
     ++m_checked;
     const auto late = std::count_if(
         arrivals.begin(), arrivals.end(), [&](const Arrival& other) {
-          return other.entry == told.entry && other.at > told.at + kRestGrace &&
-                 other.at < end;
+          return other.entry == notified.entry &&
+                 other.at > notified.at + kRetryAfterGrace && other.at < end;
         });
-    if (static_cast<size_t>(late) > kMaxWhileResting) {
-      violations.push_back(span.host->standin->id() + " asked " +
-                           told.entry->name + " for rest and got " +
+    if (static_cast<size_t>(late) > kMaxDuringRetryAfter) {
+      violations.push_back(period.host->standin->id() + " asked " +
+                           notified.entry->name + " for rest and got " +
                            std::to_string(late) + " requests in it");
       return;
     }
   }
 }
 
-void Signals::CheckLeaving(const Span& span,
+void Signals::CheckLeaving(const SignalPeriod& period,
                            const Callers& callers,
                            std::vector<std::string>& violations) {
-  const std::string seal = SealOf(*span.host);
-  std::map<std::string, TimePoint> told;
+  const std::string seal = SealOf(*period.host);
+  std::map<std::string, TimePoint> notified;
   for (const CallRecord& record : callers.records()) {
-    if (!record.broke && record.seal == seal && record.began >= span.begin) {
+    if (!record.aborted && record.seal == seal &&
+        record.started_at >= period.begin) {
       const TimePoint at =
-          told.try_emplace(record.entry, record.ended_at).first->second;
-      told[record.entry] = std::min(at, record.ended_at);
+          notified.try_emplace(record.entry, record.ended_at).first->second;
+      notified[record.entry] = std::min(at, record.ended_at);
     }
   }
   std::map<std::string, const CallRecord*> records;
   for (const CallRecord& record : callers.records()) {
     records[record.id] = &record;
   }
-  for (const SeenRequest& seen : span.host->standin->seen()) {
+  for (const SeenRequest& seen : period.host->standin->seen()) {
     const auto record = records.find(seen.id);
     if (record == records.end()) {
       continue;
     }
     const CallRecord& call = *record->second;
-    const auto known = told.find(call.entry);
+    const auto known = notified.find(call.entry);
     const EntryProcess* entry = m_entry_of[seen.id];
-    if (known == told.end() || entry == nullptr ||
-        call.began <= known->second + kLeavingGrace ||
-        AnyWithin(entry->disturbed, known->second, seen.arrived)) {
+    if (known == notified.end() || entry == nullptr ||
+        call.started_at <= known->second + kLeavingGrace ||
+        AnyWithin(entry->disruptions, known->second, seen.arrived)) {
       continue;
     }
-    violations.push_back(span.host->standin->id() + " leaves, had told " +
+    violations.push_back(period.host->standin->id() + " leaves, had told " +
                          call.entry + ", and got " + seen.id + " from it");
     return;
   }
-  m_checked += told.size();
+  m_checked += notified.size();
 }
 
 void Signals::Check(const Callers& callers,
@@ -318,16 +328,16 @@
       }
     }
   }
-  for (const Span& span : m_spans) {
-    switch (span.kind) {
+  for (const SignalPeriod& period : m_periods) {
+    switch (period.kind) {
       case Kind::kLimit:
-        CheckLimit(span, callers, violations);
+        CheckLimit(period, callers, violations);
         break;
-      case Kind::kRest:
-        CheckRest(span, violations);
+      case Kind::kRetryAfter:
+        CheckRetryAfter(period, violations);
         break;
       case Kind::kLeaving:
-        CheckLeaving(span, callers, violations);
+        CheckLeaving(period, callers, violations);
         break;
     }
   }
--- a/soak/soak_signals.h
+++ b/soak/soak_signals.h
@@ -26,20 +26,20 @@
   /// Checks what came to the servers; to be called when no call is open.
   void Check(const Callers& callers, std::vector<std::string>& violations);
 
-  size_t count() const { return m_spans.size(); }
+  size_t count() const { return m_periods.size(); }
   /// Requests that were compared with what the servers had said.
   size_t checked() const { return m_checked; }
 
  private:
-  enum class Kind { kLimit, kRest, kLeaving };
+  enum class Kind { kLimit, kRetryAfter, kLeaving };
   /// What a server said, and how long.
-  struct Span {
+  struct SignalPeriod {
     Kind kind = Kind::kLimit;
     RunnerHost* host = nullptr;
     TimePoint begin;
     TimePoint end;
     double limit = 0;
-    Duration rest{0};
+    Duration retry_after{0};
   };
   struct Arrival {
     TimePoint at;
@@ -48,26 +48,27 @@
     bool refused = false;
   };
 
-  void Next();
-  void Begin();
+  void ScheduleNext();
+  void StartSignal();
   /// A living server that says nothing now; null: there is none.
-  RunnerHost* AnyQuiet();
-  void BeginLimit(RunnerHost& host);
-  void BeginRest(RunnerHost& host);
-  void BeginLeaving(RunnerHost& host);
+  RunnerHost* RandomUnsignalledServer();
+  void StartLimit(RunnerHost& host);
+  void StartRefusals(RunnerHost& host);
+  void StartLeaving(RunnerHost& host);
   /// Ends what the server says after `time`.
-  void EndAfter(Duration time, std::function<void()> undo);
+  void UndoAfter(Duration time, std::function<void()> undo);
 
   std::vector<Arrival> ArrivalsAt(const RunnerHost& host) const;
   /// The arrival's entry host had passed on what the server said.
-  bool WasTold(const Span& span,
-               const Callers& callers,
-               const Arrival& arrival) const;
-  void CheckLimit(const Span& span,
+  bool HadReceivedSignal(const SignalPeriod& period,
+                         const Callers& callers,
+                         const Arrival& arrival) const;
+  void CheckLimit(const SignalPeriod& period,
                   const Callers& callers,
                   std::vector<std::string>& violations);
-  void CheckRest(const Span& span, std::vector<std::string>& violations);
-  void CheckLeaving(const Span& span,
+  void CheckRetryAfter(const SignalPeriod& period,
+                       std::vector<std::string>& violations);
+  void CheckLeaving(const SignalPeriod& period,
                     const Callers& callers,
                     std::vector<std::string>& violations);
 
@@ -76,7 +77,7 @@
   std::mt19937_64 m_random;
   Duration m_interval{0};
   bool m_stopped = true;
-  std::vector<Span> m_spans;
+  std::vector<SignalPeriod> m_periods;
   /// Servers that say something now, or have said that they leave.
   std::set<RunnerHost*> m_active;
   /// Entry host of each call.
--- a/source/base_compress.cc
+++ b/source/base_compress.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// A configuration compresses to a tenth already at the quickest level.
-constexpr int kLevel = 1;
+constexpr int kCompressionLevel = 1;
 
 }  // namespace
 
@@ -17,7 +17,8 @@
   uLongf size = compressBound(text.size());
   std::string bytes(size, '\0');
   compress2(reinterpret_cast<Bytef*>(bytes.data()), &size,
-            reinterpret_cast<const Bytef*>(text.data()), text.size(), kLevel);
+            reinterpret_cast<const Bytef*>(text.data()), text.size(),
+            kCompressionLevel);
   bytes.resize(size);
   return bytes;
 }
@@ -31,16 +32,16 @@
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
   stream.avail_in = static_cast<uInt>(bytes.size());
   std::string text;
-  std::array<char, 64 * 1024> piece;
-  int state = Z_OK;
-  while (state == Z_OK && text.size() <= max_bytes) {
-    stream.next_out = reinterpret_cast<Bytef*>(piece.data());
-    stream.avail_out = piece.size();
-    state = inflate(&stream, Z_NO_FLUSH);
-    text.append(piece.data(), piece.size() - stream.avail_out);
+  std::array<char, 64 * 1024> buffer;
+  int status = Z_OK;
+  while (status == Z_OK && text.size() <= max_bytes) {
+    stream.next_out = reinterpret_cast<Bytef*>(buffer.data());
+    stream.avail_out = buffer.size();
+    status = inflate(&stream, Z_NO_FLUSH);
+    text.append(buffer.data(), buffer.size() - stream.avail_out);
   }
   inflateEnd(&stream);
-  if (state != Z_STREAM_END || text.size() > max_bytes) {
+  if (status != Z_STREAM_END || text.size() > max_bytes) {
     return std::nullopt;
   }
   return text;
--- a/source/base_result.cc
+++ b/source/base_result.cc
@@ -53,13 +53,14 @@
     {kKeyStoreUnavailable, "key-store-unavailable", 503,
      "The idempotency key cannot be recorded now, so nothing was run."},
     {kDraining, "draining", 503, "This entry host is stopping."},
-    {kCallerGone, "caller-gone", 499, "The caller closed its connection."},
-    {kMayBeBehind, "may-be-behind", 503,
+    {kCallerDisconnected, "caller-gone", 499,
+     "The caller closed its connection."},
+    {kConfigMayBeStale, "may-be-behind", 503,
      "This entry host may not have the configuration that is in force."},
-    {kEndsServers, "ends-servers", 503,
+    {kRequestEndsServers, "ends-servers", 503,
      "Backend servers end while they run this request; do not send it again as "
      "it is."},
-    {kServersHoldOff, "servers-hold-off", 503,
+    {kServersBackingOff, "servers-hold-off", 503,
      "Every backend server that is left has asked for fewer requests or none; "
      "Retry-After says when to return."},
     {kEvacuated, "evacuated", 503,
--- a/source/config_follower.cc
+++ b/source/config_follower.cc
@@ -27,10 +27,10 @@
   if (!m_fetching.insert(key).second) {
     return;
   }
-  m_store.Get(key, [this](const StoreAnswer& answer) {
-    m_fetching.erase(answer.object.key);
-    if (answer.status == StoreStatus::kOk) {
-      m_cache.Offer(answer.object);
+  m_store.Get(key, [this](const StoreResponse& response) {
+    m_fetching.erase(response.object.key);
+    if (response.status == StoreStatus::kOk) {
+      m_cache.Offer(response.object);
       Follow();
     }
   });
--- a/source/config_generation.cc
+++ b/source/config_generation.cc
@@ -27,7 +27,7 @@
 struct Chain {
   std::vector<ConfigDelta> deltas;
   FollowStep problem;
-  bool whole = false;
+  bool complete = false;
 };
 
 Chain CollectChain(const ObjectCache& cache,
@@ -52,7 +52,7 @@
     key = delta->record.previous_delta_key;
     chain.deltas.push_back(std::move(*delta));
   }
-  chain.whole = true;
+  chain.complete = true;
   return chain;
 }
 
@@ -176,7 +176,7 @@
     base = std::move(*parsed);
   }
   const Chain chain = CollectChain(cache, *root, base.generation);
-  if (!chain.whole) {
+  if (!chain.complete) {
     return chain.problem;
   }
   for (auto delta = chain.deltas.rbegin(); delta != chain.deltas.rend();
--- a/source/config_resources.cc
+++ b/source/config_resources.cc
@@ -22,17 +22,17 @@
   FieldReader(std::string resource, const Json& fields)
       : m_resource(std::move(resource)), m_fields(fields) {
     if (!fields.is_object()) {
-      Fault("", fields, "an object of fields");
+      SetError("", fields, "an object of fields");
     }
   }
 
   std::string Text(const std::string& field, const std::string& fallback) {
-    const Json* value = Take(field);
+    const Json* value = Find(field);
     if (value == nullptr) {
       return fallback;
     }
     if (!value->is_string()) {
-      Fault(field, *value, "a text");
+      SetError(field, *value, "a text");
       return fallback;
     }
     return value->get<std::string>();
@@ -42,30 +42,30 @@
                 double fallback,
                 double lowest,
                 double highest) {
-    const Json* value = Take(field);
+    const Json* value = Find(field);
     if (value == nullptr) {
       return fallback;
     }
     if (!value->is_number() || value->get<double>() < lowest ||
         value->get<double>() > highest) {
-      Fault(field, *value,
-            "a number from " + Json(lowest).dump() + " to " +
-                Json(highest).dump());
+      SetError(field, *value,
+               "a number from " + Json(lowest).dump() + " to " +
+                   Json(highest).dump());
       return fallback;
     }
     return value->get<double>();
   }
 
   int Integer(const std::string& field, int fallback, int lowest, int highest) {
-    const Json* value = Take(field);
+    const Json* value = Find(field);
     if (value == nullptr) {
       return fallback;
     }
     if (!value->is_number_integer() || value->get<int64_t>() < lowest ||
         value->get<int64_t>() > highest) {
-      Fault(field, *value,
-            "an integer from " + std::to_string(lowest) + " to " +
-                std::to_string(highest));
+      SetError(field, *value,
+               "an integer from " + std::to_string(lowest) + " to " +
+                   std::to_string(highest));
       return fallback;
     }
     return value->get<int>();
@@ -73,17 +73,17 @@
 
   std::vector<std::string> Texts(const std::string& field) {
     std::vector<std::string> texts;
-    const Json* value = Take(field);
+    const Json* value = Find(field);
     if (value == nullptr) {
       return texts;
     }
     if (!value->is_array()) {
-      Fault(field, *value, "a list of texts");
+      SetError(field, *value, "a list of texts");
       return texts;
     }
     for (const Json& entry : *value) {
       if (!entry.is_string()) {
-        Fault(field, entry, "a text");
+        SetError(field, entry, "a text");
         return texts;
       }
       texts.push_back(entry.get<std::string>());
@@ -93,24 +93,24 @@
 
   /// The raw list of a field; empty where it is absent.
   Json List(const std::string& field) {
-    const Json* value = Take(field);
+    const Json* value = Find(field);
     if (value == nullptr) {
       return Json::array();
     }
     if (!value->is_array()) {
-      Fault(field, *value, "a list");
+      SetError(field, *value, "a list");
       return Json::array();
     }
     return *value;
   }
 
-  void Fault(const std::string& field,
-             const Json& value,
-             const std::string& allowed) {
-    if (!m_fault.empty()) {
+  void SetError(const std::string& field,
+                const Json& value,
+                const std::string& allowed) {
+    if (!m_error.empty()) {
       return;
     }
-    m_fault = "The resource '" + m_resource + "', field '" + field +
+    m_error = "The resource '" + m_resource + "', field '" + field +
               "', has the value " +
               value.dump(-1, ' ', false, Json::error_handler_t::replace) +
               "; allowed is " + allowed + ".";
@@ -118,20 +118,20 @@
 
   /// The first fault, an unknown field included; empty where all is well.
   std::string Finish() {
-    if (!m_fault.empty() || !m_fields.is_object()) {
-      return m_fault;
+    if (!m_error.empty() || !m_fields.is_object()) {
+      return m_error;
     }
     for (const auto& [field, value] : m_fields.items()) {
-      if (!m_taken.contains(field)) {
-        Fault(field, value, "no such field");
+      if (!m_read_fields.contains(field)) {
+        SetError(field, value, "no such field");
       }
     }
-    return m_fault;
+    return m_error;
   }
 
  private:
-  const Json* Take(const std::string& field) {
-    m_taken.insert(field);
+  const Json* Find(const std::string& field) {
+    m_read_fields.insert(field);
     if (!m_fields.is_object() || !m_fields.contains(field)) {
       return nullptr;
     }
@@ -140,8 +140,8 @@
 
   std::string m_resource;
   const Json& m_fields;
-  std::set<std::string> m_taken;
-  std::string m_fault;
+  std::set<std::string> m_read_fields;
+  std::string m_error;
 };
 
 Service ReadService(const std::string& name, FieldReader& reader) {
@@ -149,7 +149,7 @@
   service.name = name;
   const std::string type = reader.Text("type", "model");
   if (type != "model" && type != "plain") {
-    reader.Fault("type", type, "model or plain");
+    reader.SetError("type", type, "model or plain");
   }
   service.type = type == "plain" ? ServiceType::kPlain : ServiceType::kModel;
   service.downtime_weight = reader.Number("downtime_weight", 0.5, 0, 1);
@@ -157,7 +157,7 @@
   for (const std::string& text : reader.Texts("backend_servers")) {
     const Result<Address> address = ParseAddress(text);
     if (!address) {
-      reader.Fault("backend_servers", text, "an IP address with a port");
+      reader.SetError("backend_servers", text, "an IP address with a port");
       continue;
     }
     service.backend_servers.push_back(*address);
@@ -183,8 +183,8 @@
   workspace.name = name;
   workspace.key_sha256 = reader.Text("key_sha256", "");
   if (workspace.key_sha256.size() != kSha256HexDigits) {
-    reader.Fault("key_sha256", workspace.key_sha256,
-                 "the 64 hexadecimal digits of the key's SHA-256");
+    reader.SetError("key_sha256", workspace.key_sha256,
+                    "the 64 hexadecimal digits of the key's SHA-256");
   }
   workspace.priority = reader.Integer("priority", 1, 0, 9);
   std::string resource = "workspace/";
@@ -195,9 +195,9 @@
     entitlement.service = fields.Text("service", "");
     entitlement.requests_per_second =
         fields.Number("requests_per_second", 0, 0, kMaxRequestsPerSecond);
-    const std::string fault = fields.Finish();
-    if (!fault.empty()) {
-      reader.Fault("entitlements", row, fault);
+    const std::string error = fields.Finish();
+    if (!error.empty()) {
+      reader.SetError("entitlements", row, error);
     }
     workspace.entitlements.push_back(entitlement);
   }
@@ -205,55 +205,55 @@
 }
 
 /// Checks what one resource says of another.
-std::string FindDanglingName(const Resources& resources) {
+std::string FindDanglingReference(const Resources& resources) {
   const auto lacks_service = [&resources](const std::string& name) {
     return !resources.services.contains(name);
   };
-  const auto fault = [](const std::string& resource, const std::string& field,
+  const auto error = [](const std::string& resource, const std::string& field,
                         const std::string& value) {
     return "The resource '" + resource + "', field '" + field + "', names '" +
            value + "', which this change does not declare.";
   };
   for (const auto& [name, version] : resources.model_versions) {
     if (lacks_service(version.service)) {
-      return fault("model_version/" + name, "service", version.service);
+      return error("model_version/" + name, "service", version.service);
     }
   }
   for (const auto& [name, adapter] : resources.adapters) {
     if (lacks_service(adapter.service)) {
-      return fault("adapter/" + name, "service", adapter.service);
+      return error("adapter/" + name, "service", adapter.service);
     }
   }
   for (const auto& [name, group] : resources.serving_groups) {
     const std::string resource = "serving_group/" + name;
     if (lacks_service(group.service)) {
-      return fault(resource, "service", group.service);
+      return error(resource, "service", group.service);
     }
     if (!resources.model_versions.contains(group.model_version)) {
-      return fault(resource, "model_version", group.model_version);
+      return error(resource, "model_version", group.model_version);
     }
     if (!group.last_good_version.empty() &&
         !resources.model_versions.contains(group.last_good_version)) {
-      return fault(resource, "last_good_version", group.last_good_version);
+      return error(resource, "last_good_version", group.last_good_version);
     }
     for (const std::string& adapter : group.adapters) {
       if (!resources.adapters.contains(adapter)) {
-        return fault(resource, "adapters", adapter);
+        return error(resource, "adapters", adapter);
       }
     }
   }
   for (const auto& [name, workspace] : resources.workspaces) {
     for (const Entitlement& entitlement : workspace.entitlements) {
       if (lacks_service(entitlement.service)) {
-        return fault("workspace/" + name, "entitlements", entitlement.service);
+        return error("workspace/" + name, "entitlements", entitlement.service);
       }
     }
   }
   return "";
 }
 
-tl::unexpected<Error> UnknownKind(const std::string& id,
-                                  const std::string& kind) {
+tl::unexpected<Error> UnknownKindError(const std::string& id,
+                                       const std::string& kind) {
   return Fail(ResultCode::kResourceInvalid,
               "The resource '" + id + "' has the kind '" + kind +
                   "'; allowed are service, model_version, adapter, "
@@ -292,14 +292,14 @@
     } else if (kind == "workspace") {
       resources.workspaces[name] = ReadWorkspace(name, reader);
     } else {
-      return UnknownKind(id, kind);
+      return UnknownKindError(id, kind);
     }
-    const std::string fault = reader.Finish();
-    if (!fault.empty()) {
-      return Fail(ResultCode::kResourceInvalid, fault);
+    const std::string error = reader.Finish();
+    if (!error.empty()) {
+      return Fail(ResultCode::kResourceInvalid, error);
     }
   }
-  const std::string dangling = FindDanglingName(resources);
+  const std::string dangling = FindDanglingReference(resources);
   if (!dangling.empty()) {
     return Fail(ResultCode::kResourceInvalid, dangling);
   }
--- a/source/controller.cc
+++ b/source/controller.cc
@@ -15,9 +15,11 @@
 constexpr size_t kIdleConnections = 1;
 constexpr Duration kPassInterval = Milliseconds(100);
 /// How long a stopping controller waits for its last writes.
-constexpr Duration kStopLimit = Seconds(2);
+constexpr Duration kStopTimeout = Seconds(2);
 
-Json JoinBody(const Group& group, const std::string& host, uint64_t fence) {
+Json JoinOrderBody(const Group& group,
+                   const std::string& host,
+                   uint64_t fence) {
   size_t rank = 0;
   while (group.members[rank] != host) {
     ++rank;
@@ -60,7 +62,7 @@
   m_plan_policy.drain_floor = settings.Time("repair", "drain_floor");
   m_feed = std::make_unique<ControllerFeed>(loop, settings, m_store, m_cache,
                                             [this] { OnObjects(); });
-  m_pass_timer = loop.Every(kPassInterval, [this] { Pass(); });
+  m_pass_timer = loop.Every(kPassInterval, [this] { RunPass(); });
 }
 
 Controller::~Controller() = default;
@@ -123,18 +125,18 @@
   domain.state = *state;
   domain.version = object.version;
   domain.ownership.lease = state->lease;
-  std::map<std::string, Domain::PhaseSeen> seen;
+  std::map<std::string, Domain::ObservedPhase> seen;
   for (const Group& group : domain.state.groups) {
-    const Domain::PhaseSeen present{group.epoch, group.phase};
-    const auto known = domain.phase_seen.find(group.id);
-    if (known == domain.phase_seen.end() ||
+    const Domain::ObservedPhase present{group.epoch, group.phase};
+    const auto known = domain.observed_phases.find(group.id);
+    if (known == domain.observed_phases.end() ||
         known->second.epoch != present.epoch ||
         known->second.phase != present.phase) {
       domain.phase_since[group.id] = now;
     }
     seen[group.id] = present;
   }
-  domain.phase_seen = std::move(seen);
+  domain.observed_phases = std::move(seen);
 }
 
 void Controller::WatchHosts() {
@@ -150,28 +152,28 @@
   m_members.SetMembers(hosts);
 }
 
-void Controller::Pass() {
+void Controller::RunPass() {
   for (auto& [name, domain] : m_domains) {
-    PassDomain(*domain);
+    ProcessDomain(*domain);
   }
-  if (HoldsAny() && m_keeper.ShouldRenew(m_lease_policy, MonotonicNow())) {
+  if (HoldsAnyLease() && m_keeper.ShouldRenew(m_lease_policy, MonotonicNow())) {
     Heartbeat();
   }
 }
 
-void Controller::PassDomain(Domain& domain) {
+void Controller::ProcessDomain(Domain& domain) {
   if (domain.writing || m_stopping) {
     return;
   }
   if (MayActOn(domain)) {
-    Act(domain, MonotonicNow());
+    ReconcileDomain(domain, MonotonicNow());
     return;
   }
-  domain.acting_since.reset();
-  Challenge(domain);
+  domain.lease_held_since.reset();
+  TryAcquireLease(domain);
 }
 
-void Controller::Act(Domain& domain, TimePoint now) {
+void Controller::ReconcileDomain(Domain& domain, TimePoint now) {
   for (const PlatformHost& host : domain.hosts.hosts) {
     const MemberEvidence* evidence = m_members.Find(host.name);
     if (evidence != nullptr) {
@@ -180,10 +182,10 @@
   }
   // Right after the lease was taken no host has been heard yet, and all of them
   // would look lost.
-  if (!domain.acting_since) {
-    domain.acting_since = now;
+  if (!domain.lease_held_since) {
+    domain.lease_held_since = now;
   }
-  if (now - *domain.acting_since < m_plan_policy.lost_after) {
+  if (now - *domain.lease_held_since < m_plan_policy.lost_after) {
     return;
   }
   DomainSummaries summaries;
@@ -235,38 +237,38 @@
   const std::string text = ToJson(next).dump();
   const uint64_t term = m_keeper.term();
   m_store.Put(std::string(kDomainStatePrefix) + name, text, domain.version,
-              [this, name, text, term](const StoreAnswer& answer) {
-                OnWritten(name, text, term, answer);
+              [this, name, text, term](const StoreResponse& response) {
+                OnWritten(name, text, term, response);
               });
 }
 
 void Controller::OnWritten(const std::string& name,
                            const std::string& text,
                            uint64_t term,
-                           const StoreAnswer& answer) {
-  if (answer.status == StoreStatus::kOk) {
-    TakeOver(
+                           const StoreResponse& response) {
+  if (response.status == StoreStatus::kOk) {
+    ApplyStoredState(
         name,
-        {std::string(kDomainStatePrefix) + name, text, answer.object.version},
+        {std::string(kDomainStatePrefix) + name, text, response.object.version},
         text, term);
     return;
   }
   // A store that gave no answer may have taken the write, and a conflict may be
   // with that very write. The object itself tells.
   m_store.Get(std::string(kDomainStatePrefix) + name,
-              [this, name, text, term](const StoreAnswer& read) {
+              [this, name, text, term](const StoreResponse& read) {
                 if (read.status == StoreStatus::kOk) {
-                  TakeOver(name, read.object, text, term);
+                  ApplyStoredState(name, read.object, text, term);
                 } else {
                   m_domains.find(name)->second->writing = false;
                 }
               });
 }
 
-void Controller::TakeOver(const std::string& name,
-                          const StoredObject& object,
-                          const std::string& own_text,
-                          uint64_t term) {
+void Controller::ApplyStoredState(const std::string& name,
+                                  const StoredObject& object,
+                                  const std::string& own_text,
+                                  uint64_t term) {
   Domain& domain = *m_domains.find(name)->second;
   domain.writing = false;
   m_cache.Offer(object);
@@ -294,9 +296,9 @@
                             const std::vector<MemberOrder>& orders) {
   for (const MemberOrder& order : orders) {
     if (const auto* join = std::get_if<JoinOrder>(&order)) {
-      SendOrder(
-          domain, join->host,
-          JoinBody(join->group, join->host, domain.state.lease.fence).dump());
+      SendOrder(domain, join->host,
+                JoinOrderBody(join->group, join->host, domain.state.lease.fence)
+                    .dump());
     } else {
       const auto& leave = std::get<LeaveOrder>(order);
       SendOrder(domain, leave.host,
@@ -326,11 +328,11 @@
   request.idle_timeout = m_lease_policy.order_ttl;
   request.fresh_connection = true;
   HttpCallEvents events;
-  const auto forget = [this, name = domain.hosts.domain, host] {
+  const auto erase_order = [this, name = domain.hosts.domain, host] {
     m_domains.find(name)->second->orders.erase(host);
   };
-  events.on_end = [forget](int) { forget(); };
-  events.on_failure = [forget](bool) { forget(); };
+  events.on_end = [erase_order](int) { erase_order(); };
+  events.on_failure = [erase_order](bool) { erase_order(); };
   domain.orders[host] =
       m_http.Start(row->address, std::move(request), std::move(events));
 }
@@ -348,13 +350,13 @@
       Write(*domain, next);
     }
   }
-  const TimePoint limit = now + kStopLimit;
-  m_stop_timer = m_loop.Every(kPassInterval, [this, limit] {
+  const TimePoint deadline = now + kStopTimeout;
+  m_stop_timer = m_loop.Every(kPassInterval, [this, deadline] {
     bool writing = false;
     for (const auto& [name, domain] : m_domains) {
       writing = writing || domain->writing;
     }
-    if (!writing || MonotonicNow() >= limit) {
+    if (!writing || MonotonicNow() >= deadline) {
       m_loop.Stop();
     }
   });
--- a/source/controller_domain.h
+++ b/source/controller_domain.h
@@ -17,19 +17,19 @@
   TimePoint lease_seen;
   DomainOwnership ownership;
   HolderView holder;
-  bool reading_holder = false;
+  bool reading_holder_heartbeat = false;
   HostViews views;
-  struct PhaseSeen {
+  struct ObservedPhase {
     uint64_t epoch = 0;
     GroupPhase phase = GroupPhase::kLoading;
   };
-  std::map<std::string, PhaseSeen> phase_seen;
+  std::map<std::string, ObservedPhase> observed_phases;
   std::map<std::string, TimePoint> phase_since;
   /// One order at a time to each host.
   std::map<std::string, std::unique_ptr<HttpCall>> orders;
   bool writing = false;
   /// Since when this controller has held the lease without a break.
-  std::optional<TimePoint> acting_since;
+  std::optional<TimePoint> lease_held_since;
 };
 
 }  // namespace filbertrack
--- a/source/controller_feed.cc
+++ b/source/controller_feed.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Duration kAskTimeout = Seconds(1);
+constexpr Duration kRequestTimeout = Seconds(1);
 /// Silence of the gateway after which the store itself is watched.
-constexpr Duration kGatewaySilent = Seconds(2);
+constexpr Duration kGatewaySilenceTimeout = Seconds(2);
 
 }  // namespace
 
@@ -34,45 +34,47 @@
 ControllerFeed::~ControllerFeed() = default;
 
 void ControllerFeed::Tick() {
-  const bool silent = MonotonicNow() - m_last_answer > kGatewaySilent;
+  const bool gateway_silent =
+      MonotonicNow() - m_last_reply > kGatewaySilenceTimeout;
   m_watch.SetPrefixes(
-      silent ? std::vector<std::string>{std::string(kConfigRootKey),
-                                        std::string(kDomainStatePrefix),
-                                        std::string(kPlatformHostsPrefix)}
-             : std::vector<std::string>());
+      gateway_silent
+          ? std::vector<std::string>{std::string(kConfigRootKey),
+                                     std::string(kDomainStatePrefix),
+                                     std::string(kPlatformHostsPrefix)}
+          : std::vector<std::string>());
   if (m_gateway != nullptr && !m_gateway->busy()) {
-    Ask();
+    RequestObjects();
   }
 }
 
-void ControllerFeed::Ask() {
+void ControllerFeed::RequestObjects() {
   // Without a name: an observer is no member, and nothing is lent to it.
-  ExchangeRequest ask;
-  ask.cache_digest = m_cache.Digest();
-  ask.wanted_objects = std::move(m_wanted);
-  m_wanted.clear();
-  m_gateway->Ask(EncodePeerMessage(ask), kAskTimeout,
-                 [this](const std::string* payload) { OnAnswer(payload); });
+  ExchangeRequest request;
+  request.cache_digest = m_cache.Digest();
+  request.wanted_objects = std::move(m_wanted_keys);
+  m_wanted_keys.clear();
+  m_gateway->Ask(EncodePeerMessage(request), kRequestTimeout,
+                 [this](const std::string* payload) { OnReply(payload); });
 }
 
-void ControllerFeed::OnAnswer(const std::string* payload) {
+void ControllerFeed::OnReply(const std::string* payload) {
   if (payload == nullptr) {
     return;
   }
   const Result<PeerMessage> message = DecodePeerMessage(*payload);
-  const ExchangeReply* answer =
+  const ExchangeReply* reply =
       message ? std::get_if<ExchangeReply>(&*message) : nullptr;
-  if (answer == nullptr) {
+  if (reply == nullptr) {
     return;
   }
-  m_last_answer = MonotonicNow();
+  m_last_reply = MonotonicNow();
   bool changed = false;
-  for (const StoredObject& object : answer->objects) {
+  for (const StoredObject& object : reply->objects) {
     changed = m_cache.Offer(object) || changed;
   }
-  m_wanted = m_cache.Missing(answer->inventory);
-  if (!m_wanted.empty()) {
-    Ask();
+  m_wanted_keys = m_cache.Missing(reply->inventory);
+  if (!m_wanted_keys.empty()) {
+    RequestObjects();
   }
   if (changed) {
     m_on_change();
--- a/source/controller_lease.cc
+++ b/source/controller_lease.cc
@@ -13,10 +13,10 @@
 namespace {
 
 /// Challengers for one lease spread over this much of its duration.
-constexpr double kRankSpread = 0.3;
+constexpr double kRankSpreadFactor = 0.3;
 constexpr uint64_t kRankSteps = 1000;
 /// Controllers of other data centres wait this part of the duration longer.
-constexpr double kFarDelay = 4;
+constexpr double kRemoteDelayFactor = 4;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
                 MonotonicNow());
 }
 
-bool Controller::HoldsAny() const {
+bool Controller::HoldsAnyLease() const {
   return std::any_of(m_domains.begin(), m_domains.end(),
                      [this](const auto& row) {
                        return row.second->ownership.lease.holder == m_node;
@@ -43,18 +43,19 @@
   const TimePoint began = MonotonicNow();
   const std::string key = std::string(kHeartbeatPrefix) + m_node;
   const std::string text = m_incarnation + " " + std::to_string(++m_heartbeats);
-  m_store.Put(key, text, m_heartbeat_version,
-              [this, key, text, began](const StoreAnswer& answer) {
-                if (answer.status == StoreStatus::kOk) {
-                  OnHeartbeat(answer.object.version, began, true);
-                  return;
-                }
-                m_store.Get(key, [this, text, began](const StoreAnswer& read) {
-                  const bool known = read.status == StoreStatus::kOk;
-                  OnHeartbeat(known ? read.object.version : m_heartbeat_version,
-                              began, known && read.object.value == text);
-                });
-              });
+  m_store.Put(
+      key, text, m_heartbeat_version,
+      [this, key, text, began](const StoreResponse& response) {
+        if (response.status == StoreStatus::kOk) {
+          OnHeartbeat(response.object.version, began, true);
+          return;
+        }
+        m_store.Get(key, [this, text, began](const StoreResponse& read) {
+          const bool known = read.status == StoreStatus::kOk;
+          OnHeartbeat(known ? read.object.version : m_heartbeat_version, began,
+                      known && read.object.value == text);
+        });
+      });
 }
 
 void Controller::OnHeartbeat(uint64_t version, TimePoint began, bool written) {
@@ -71,14 +72,15 @@
                           kRankSteps) /
       kRankSteps;
   // Controllers beside the domain's hosts go first.
-  const bool near =
+  const bool is_local =
       domain.hosts.data_centre == m_settings.Text("node", "data_centre");
-  const double part = (near ? 0 : kFarDelay) + rank * kRankSpread;
+  const double factor =
+      (is_local ? 0 : kRemoteDelayFactor) + rank * kRankSpreadFactor;
   return Duration(static_cast<int64_t>(
-      part * static_cast<double>(m_lease_policy.duration.count())));
+      factor * static_cast<double>(m_lease_policy.duration.count())));
 }
 
-void Controller::Challenge(Domain& domain) {
+void Controller::TryAcquireLease(Domain& domain) {
   const TimePoint now = MonotonicNow();
   const std::string& holder = domain.state.lease.holder;
   const bool held_by_other = !holder.empty() && holder != m_node;
@@ -88,46 +90,46 @@
                         m_lease_policy.order_ttl + RankDelay(domain);
   const bool is_new = domain.holder.holder != holder;
   const bool is_due = now >= due && domain.holder.last_read < due;
-  if (held_by_other && !domain.reading_holder && (is_new || is_due)) {
-    ReadHolder(domain);
+  if (held_by_other && !domain.reading_holder_heartbeat && (is_new || is_due)) {
+    ReadHolderHeartbeat(domain);
     return;
   }
   // A restarted controller finds its own name in the lease. It waits like any
   // other, because an order of its earlier process may still be on its way.
-  const bool may_take =
+  const bool may_acquire =
       holder == m_node
           ? now >= domain.lease_seen + m_lease_policy.order_ttl
           : MayAcquire(domain.state.lease, domain.lease_seen, domain.holder,
                        m_lease_policy, RankDelay(domain), now);
-  if (!may_take) {
+  if (!may_acquire) {
     return;
   }
   if (!m_keeper.IsHeld(m_lease_policy, now)) {
     Heartbeat();
     return;
   }
-  TakeLease(domain);
+  AcquireLease(domain);
 }
 
-void Controller::ReadHolder(Domain& domain) {
-  domain.reading_holder = true;
+void Controller::ReadHolderHeartbeat(Domain& domain) {
+  domain.reading_holder_heartbeat = true;
   const std::string holder = domain.state.lease.holder;
-  m_store.Get(
-      std::string(kHeartbeatPrefix) + holder,
-      [this, name = domain.hosts.domain, holder](const StoreAnswer& answer) {
-        Domain& read = *m_domains.find(name)->second;
-        read.reading_holder = false;
-        // No answer tells nothing: a store that is down must not make
-        // a live holder look dead.
-        if (answer.status == StoreStatus::kOk ||
-            answer.status == StoreStatus::kNotFound) {
-          ObserveHolder(read.holder, holder, answer.object.version,
-                        MonotonicNow());
-        }
-      });
+  m_store.Get(std::string(kHeartbeatPrefix) + holder,
+              [this, name = domain.hosts.domain,
+               holder](const StoreResponse& response) {
+                Domain& read = *m_domains.find(name)->second;
+                read.reading_holder_heartbeat = false;
+                // No answer tells nothing: a store that is down must not make
+                // a live holder look dead.
+                if (response.status == StoreStatus::kOk ||
+                    response.status == StoreStatus::kNotFound) {
+                  ObserveHolder(read.holder, holder, response.object.version,
+                                MonotonicNow());
+                }
+              });
 }
 
-void Controller::TakeLease(Domain& domain) {
+void Controller::AcquireLease(Domain& domain) {
   DomainState next = domain.state;
   next.lease = {m_node, next.lease.fence + 1};
   Log(LogLevel::kInfo, "lease-wanted",
--- a/source/entry_control.cc
+++ b/source/entry_control.cc
@@ -15,11 +15,11 @@
 using Json = nlohmann::json;
 
 /// How often an entry host without the lease looks at its own state.
-constexpr Duration kFollowerTick = Milliseconds(200);
-constexpr Duration kCountInterval = Seconds(1);
+constexpr Duration kFollowerInterval = Milliseconds(200);
+constexpr Duration kCountsLogInterval = Seconds(1);
 
 /// One order in words, for logs.
-struct OrderText {
+struct OrderToJson {
   Json operator()(const JoinGroup& order) const {
     return {
         {"order", "join"}, {"group", order.group}, {"members", order.members}};
@@ -42,7 +42,7 @@
 };
 
 /// Hosts that an order goes to.
-struct OrderHosts {
+struct OrderRecipients {
   std::vector<std::string> operator()(const JoinGroup& order) const {
     return order.members;
   }
@@ -80,7 +80,7 @@
               policy.lease,
               records,
               MonotonicNow,
-              {[this] { Gained(); }, [this] { Lost(); }}),
+              {[this] { OnLeaseGained(); }, [this] { OnLeaseLost(); }}),
       m_prober(engines,
                policy.probes,
                MonotonicNow,
@@ -94,8 +94,8 @@
 
 void EntryControl::Start() {
   m_host.OnChange([this] {
-    m_peers.OnOwnChange();
-    PassSoon();
+    m_peers.OnLocalChange();
+    SchedulePass();
   });
   Tick();
 }
@@ -113,28 +113,28 @@
     if (m_host.catalog() != nullptr) {
       m_prober.Tick(m_host.directory(), *m_host.catalog());
     }
-    Pass();
+    RunPass();
   }
-  m_tick_timer = m_loop.After(holds ? m_policy.pass_interval : kFollowerTick,
-                              [this] { Tick(); });
+  m_tick_timer = m_loop.After(
+      holds ? m_policy.pass_interval : kFollowerInterval, [this] { Tick(); });
 }
 
 void EntryControl::YieldToStronger(TimePoint now) {
   if (!holds_lease() || !m_peers.ShouldYield(now)) {
-    m_yields_since.reset();
+    m_stronger_since.reset();
     return;
   }
-  if (!m_yields_since) {
-    m_yields_since = now;
+  if (!m_stronger_since) {
+    m_stronger_since = now;
   }
-  if (now - *m_yields_since >= m_policy.yield_after) {
+  if (now - *m_stronger_since >= m_policy.yield_after) {
     Log(LogLevel::kInfo, "lease-yielded", {{"fence", m_lease.fence()}});
-    m_lease.GiveBack();
+    m_lease.Release();
     m_lease.Tick(false);
   }
 }
 
-void EntryControl::Gained() {
+void EntryControl::OnLeaseGained() {
   m_peers.SetNeedsWatch(true);
   m_memory.clear();
   m_outbox.Clear();
@@ -143,7 +143,7 @@
       {{"fence", m_lease.fence()}, {"version", m_lease.version()}});
 }
 
-void EntryControl::Lost() {
+void EntryControl::OnLeaseLost() {
   m_peers.SetNeedsWatch(false);
   Log(LogLevel::kWarning, "lease-lost",
       {{"fence", m_lease.fence()}, {"holder", m_lease.holder()}});
@@ -152,28 +152,28 @@
 void EntryControl::Stop() {
   m_stopping = true;
   m_tick_timer.reset();
-  m_lease.GiveBack();
+  m_lease.Release();
 }
 
 /// A report that arrives may be what the next order waits for; the tick alone
 /// would add half its interval to every step of a repair.
-void EntryControl::PassSoon() {
+void EntryControl::SchedulePass() {
   if (m_pass_pending || !holds_lease()) {
     return;
   }
   m_pass_pending = true;
-  m_loop.Call(m_policy.gather, [this, alive = m_alive] {
+  m_loop.Call(m_policy.coalesce_delay, [this, alive = m_alive] {
     if (!*alive) {
       return;
     }
     m_pass_pending = false;
     if (holds_lease() && !m_stopping) {
-      Pass();
+      RunPass();
     }
   });
 }
 
-void EntryControl::Pass() {
+void EntryControl::RunPass() {
   const Catalog* catalog = m_host.catalog();
   if (catalog == nullptr || !m_outbox.empty()) {
     return;
@@ -188,16 +188,16 @@
                              m_prober.probe_results(),
                              service,
                              !m_host.traffic_seen(),
-                             m_prober.AllAsked(m_host.directory(), name),
+                             m_prober.AllProbed(m_host.directory(), name),
                              m_host.Pressure(service),
                              &m_host.evacuations()};
     const TimePoint now = MonotonicNow();
     for (const PlannedOrder& planned :
          PlanReplicas(input, m_policy.replicas, memory, now)) {
-      Queue(planned);
+      EnqueueOrder(planned);
     }
-    if (now - m_counted_at >= kCountInterval) {
-      m_counted_at = now;
+    if (now - m_counts_logged_at >= kCountsLogInterval) {
+      m_counts_logged_at = now;
       LogCounts(name, CountReplicas(input, m_policy.replicas, memory, now));
     }
   }
@@ -218,13 +218,13 @@
        {"standing_by", counts.standing_by}});
 }
 
-void EntryControl::Queue(const PlannedOrder& planned) {
-  Json line = std::visit(OrderText{}, planned.order);
-  line["why"] = planned.reason;
-  line["fence"] = m_lease.fence();
-  Log(LogLevel::kInfo, "order", line);
+void EntryControl::EnqueueOrder(const PlannedOrder& planned) {
+  Json fields = std::visit(OrderToJson{}, planned.order);
+  fields["why"] = planned.reason;
+  fields["fence"] = m_lease.fence();
+  Log(LogLevel::kInfo, "order", fields);
   const auto hosts = planned.recipients.empty()
-                         ? std::visit(OrderHosts{}, planned.order)
+                         ? std::visit(OrderRecipients{}, planned.order)
                          : planned.recipients;
   for (const std::string& host : hosts) {
     m_outbox.Push(host, planned.order);
@@ -232,8 +232,8 @@
 }
 
 void EntryControl::SendBatch() {
-  for (const WaitingOrder& waiting : m_outbox.TakeBatch()) {
-    SendOne(waiting.host, waiting.order);
+  for (const QueuedOrder& queued : m_outbox.TakeBatch()) {
+    SendOrder(queued.host, queued.order);
   }
   if (m_outbox.empty()) {
     return;
@@ -245,8 +245,8 @@
   });
 }
 
-void EntryControl::SendOne(const std::string& host_id,
-                           const ReplicaOrder& order) {
+void EntryControl::SendOrder(const std::string& host_id,
+                             const ReplicaOrder& order) {
   // A host whose registration lapsed may still answer.
   const BackendServer* host = m_host.directory().FindLast(host_id);
   // Asked on the clock right before the send: a process that was paused since
@@ -266,7 +266,7 @@
       [this, host_id, service = host->service, order,
        alive = m_alive](OrderResult result) {
         if (*alive) {
-          OnOrdered(service, order, result);
+          OnOrderResult(service, order, result);
         }
         if (result != OrderResult::kAccepted) {
           Log(LogLevel::kInfo, "order-result",
@@ -275,25 +275,25 @@
       });
 }
 
-void EntryControl::OnOrdered(const std::string& service,
-                             const ReplicaOrder& order,
-                             OrderResult result) {
+void EntryControl::OnOrderResult(const std::string& service,
+                                 const ReplicaOrder& order,
+                                 OrderResult result) {
   const auto memory = m_memory.find(service);
   if (result != OrderResult::kUnknown && memory != m_memory.end()) {
     OnOrderAnswered(order, memory->second);
   }
   const auto* leave = std::get_if<LeaveGroup>(&order);
   // Where another process has the address, the host's own has ended.
-  const bool left =
+  const bool has_left =
       result == OrderResult::kAccepted || result == OrderResult::kWrongServer;
-  if (leave == nullptr || !left) {
+  if (leave == nullptr || !has_left) {
     return;
   }
   const BackendServer* head =
       m_host.directory().FindLastHead(leave->group, leave->epoch);
   if (head != nullptr && head->id == leave->host) {
     m_host.OnHeadLeft(leave->group, leave->epoch);
-    PassSoon();
+    SchedulePass();
   }
 }
 
--- a/source/entry_host.cc
+++ b/source/entry_host.cc
@@ -132,7 +132,7 @@
                        const EntryRequest& request,
                        ResultCode code) {
   std::optional<Duration> retry_after;
-  if (code == ResultCode::kMayBeBehind || code == ResultCode::kDraining ||
+  if (code == ResultCode::kConfigMayBeStale || code == ResultCode::kDraining ||
       code == ResultCode::kOverloaded) {
     const bool waits_for_store = m_catalog == nullptr && store_away();
     const Duration min_delay =
@@ -160,7 +160,7 @@
   request.arrived = MonotonicNow();
   request.facts = m_header_codec.ReadCall(*exchange);
   if (m_catalog == nullptr || !m_servers_known) {
-    Reject(*exchange, request, ResultCode::kMayBeBehind);
+    Reject(*exchange, request, ResultCode::kConfigMayBeStale);
     return false;
   }
   if (m_draining && request.arrived - m_drain_began > kBalancerDelay) {
@@ -234,22 +234,23 @@
   const TimePoint now = MonotonicNow();
   const EntryRequest& request = relay.request();
   const Duration first = relay.first_event_at().value_or(now) - request.arrived;
-  RequestFigures figures;
-  figures.repeat = request.route->repeat;
-  figures.model = request.facts.model;
-  figures.code = end.code;
-  figures.sends = relay.sends();
+  RequestMetrics request_metrics;
+  request_metrics.repeat = request.route->repeat;
+  request_metrics.model = request.facts.model;
+  request_metrics.code = end.code;
+  request_metrics.sends = relay.sends();
   if (relay.first_event_at()) {
-    figures.first_event = first;
+    request_metrics.first_event = first;
   }
-  figures.longest_pause = relay.longest_pause();
-  figures.total = now - request.arrived;
-  m_metrics.OnRequest(figures);
+  request_metrics.longest_pause = relay.longest_pause();
+  request_metrics.total = now - request.arrived;
+  m_metrics.OnRequest(request_metrics);
   LogRequest({request, end, relay.last_target(), relay.sends(), first,
               now - request.arrived, relay.longest_pause(), relay.retry_after(),
               relay.refused_prediction(), m_selector.LoadsAge(now),
-              end.code == ResultCode::kEndsServers ? relay.digest()
-                                                   : std::string_view()});
+              end.code == ResultCode::kRequestEndsServers
+                  ? relay.digest()
+                  : std::string_view()});
   // Destruction is deferred, as the relay's own callback is still running.
   auto row = m_relays.extract(&relay);
   auto ended =
--- a/source/entry_lease.cc
+++ b/source/entry_lease.cc
@@ -28,9 +28,10 @@
   return holder.substr(0, holder.rfind(kHolderSeparator));
 }
 
-std::string FormatLease(const DomainLease& lease, uint64_t beat) {
-  return Json(
-             {{"holder", lease.holder}, {"fence", lease.fence}, {"beat", beat}})
+std::string FormatLease(const DomainLease& lease, uint64_t heartbeat) {
+  return Json({{"holder", lease.holder},
+               {"fence", lease.fence},
+               {"beat", heartbeat}})
       .dump();
 }
 
@@ -74,26 +75,26 @@
          m_keeper.IsHeld(m_policy, m_clock());
 }
 
-bool EntryLease::IsWaiting(TimePoint now) const {
-  return m_call_began && now - *m_call_began < kCallTimeout;
+bool EntryLease::HasCallInFlight(TimePoint now) const {
+  return m_call_start && now - *m_call_start < kCallTimeout;
 }
 
-void EntryLease::Tick(bool may_stand) {
+void EntryLease::Tick(bool may_acquire) {
   const TimePoint now = m_clock();
-  const bool held = IsHeld();
-  if (m_leads && !held) {
-    m_leads = false;
+  const bool is_held = IsHeld();
+  if (m_reported_held && !is_held) {
+    m_reported_held = false;
     m_events.lost();
   }
-  if (IsWaiting(now)) {
+  if (HasCallInFlight(now)) {
     return;
   }
-  m_may_stand = may_stand;
-  if (held) {
+  m_may_acquire = may_acquire;
+  if (is_held) {
     if (m_keeper.ShouldRenew(m_policy, now)) {
       Write(m_lease);
     }
-  } else if ((may_stand || !m_was_read) &&
+  } else if ((may_acquire || !m_was_read) &&
              now - m_last_read >= m_policy.renew_every) {
     Read();
   }
@@ -101,17 +102,17 @@
 
 void EntryLease::Read() {
   m_last_read = m_clock();
-  m_call_began = m_last_read;
+  m_call_start = m_last_read;
   m_records.Read(std::string(kLeaseRecord),
-                 [this, alive = m_alive](const StoreAnswer& answer) {
+                 [this, alive = m_alive](const StoreResponse& answer) {
                    if (*alive) {
-                     m_call_began.reset();
+                     m_call_start.reset();
                      OnRead(answer);
                    }
                  });
 }
 
-void EntryLease::OnRead(const StoreAnswer& answer) {
+void EntryLease::OnRead(const StoreResponse& answer) {
   // No answer tells nothing: a store that is down must not make a live holder
   // look dead.
   if (answer.status == StoreStatus::kUnavailable || IsHeld()) {
@@ -119,31 +120,31 @@
   }
   m_was_read = true;
   if (answer.status == StoreStatus::kNotFound) {
-    if (!m_may_stand) {
+    if (!m_may_acquire) {
       return;
     }
     m_version = 0;
     Write({m_holder, m_lease.fence + 1});
     return;
   }
-  if (!Learn(answer.object)) {
+  if (!ApplyRecord(answer.object)) {
     return;
   }
   // The process that held it has ended, since this one has its name: after a
   // loss of power of all hosts the groups had nobody for 2.6 s, the time after
   // which others may conclude the same. The new fence refuses what the earlier
   // process still has under way.
-  const bool was_ours = NodeOf(m_lease.holder) == NodeOf(m_holder);
+  const bool is_own_lease = NodeOf(m_lease.holder) == NodeOf(m_holder);
   const bool may_take =
-      was_ours ||
-      (m_may_stand && MayAcquire(m_lease, m_lease_seen, m_view, m_policy,
-                                 m_rank_delay, m_clock()));
+      is_own_lease ||
+      (m_may_acquire && MayAcquire(m_lease, m_lease_seen, m_holder_view,
+                                   m_policy, m_rank_delay, m_clock()));
   if (may_take) {
     Write({m_holder, m_lease.fence + 1});
   }
 }
 
-bool EntryLease::Learn(const StoredObject& record) {
+bool EntryLease::ApplyRecord(const StoredObject& record) {
   const TimePoint now = m_clock();
   const Result<DomainLease> lease = ParseLease(record.value);
   if (!lease) {
@@ -159,37 +160,37 @@
   }
   m_lease = *lease;
   m_version = record.version;
-  ObserveHolder(m_view, m_lease.holder, m_version, now);
+  ObserveHolder(m_holder_view, m_lease.holder, m_version, now);
   return true;
 }
 
 void EntryLease::Write(const DomainLease& lease) {
-  const TimePoint began = m_clock();
-  m_call_began = began;
+  const TimePoint write_start = m_clock();
+  m_call_start = write_start;
   if (!m_unanswered_since) {
-    m_unanswered_since = began;
+    m_unanswered_since = write_start;
   }
   m_records.Write(
-      std::string(kLeaseRecord), FormatLease(lease, ++m_beats), m_version,
-      [this, lease, began, alive = m_alive](const StoreAnswer& answer) {
+      std::string(kLeaseRecord), FormatLease(lease, ++m_heartbeat), m_version,
+      [this, lease, write_start, alive = m_alive](const StoreResponse& answer) {
         if (*alive) {
-          m_call_began.reset();
-          OnWritten(lease, began, answer);
+          m_call_start.reset();
+          OnWritten(lease, write_start, answer);
         }
       });
 }
 
 void EntryLease::OnWritten(const DomainLease& lease,
-                           TimePoint began,
-                           const StoreAnswer& answer) {
+                           TimePoint write_start,
+                           const StoreResponse& answer) {
   if (answer.status == StoreStatus::kOk) {
     if (answer.object.version > m_version) {
       m_version = answer.object.version;
-      OnConfirmed(lease, began);
+      OnConfirmed(lease, write_start);
     }
     return;
   }
-  if (answer.status != StoreStatus::kConflict || !Learn(answer.object)) {
+  if (answer.status != StoreStatus::kConflict || !ApplyRecord(answer.object)) {
     return;
   }
   // The conflict may be with an earlier write of this process, whose answer was
@@ -200,7 +201,7 @@
   m_unanswered_since.reset();
 }
 
-void EntryLease::OnConfirmed(const DomainLease& lease, TimePoint began) {
+void EntryLease::OnConfirmed(const DomainLease& lease, TimePoint write_start) {
   const bool lapsed = lease.fence == m_confirmed_fence && !IsHeld();
   m_lease = lease;
   m_unanswered_since.reset();
@@ -209,24 +210,25 @@
   }
   const bool is_new = lease.fence != m_confirmed_fence;
   m_confirmed_fence = lease.fence;
-  m_keeper.OnWritten(began, m_policy, m_clock());
+  m_keeper.OnWritten(write_start, m_policy, m_clock());
   if (!is_new || !IsHeld()) {
     return;
   }
-  if (m_leads) {
+  if (m_reported_held) {
     m_events.lost();
   }
-  m_leads = true;
+  m_reported_held = true;
   m_events.gained();
 }
 
-void EntryLease::GiveBack() {
+void EntryLease::Release() {
   if (!IsHeld()) {
     return;
   }
   m_lease.holder.clear();
-  m_records.Write(std::string(kLeaseRecord), FormatLease(m_lease, ++m_beats),
-                  m_version, [](const StoreAnswer&) {});
+  m_records.Write(std::string(kLeaseRecord),
+                  FormatLease(m_lease, ++m_heartbeat), m_version,
+                  [](const StoreResponse&) {});
 }
 
 }  // namespace filbertrack
--- a/source/entry_metrics.cc
+++ b/source/entry_metrics.cc
@@ -30,25 +30,26 @@
 
 }  // namespace
 
-void EntryMetrics::OnRequest(const RequestFigures& figures) {
-  const std::string kind = Label("kind", KindName(figures.repeat));
+void EntryMetrics::OnRequest(const RequestMetrics& request_metrics) {
+  const std::string kind = Label("kind", KindName(request_metrics.repeat));
   ++m_metrics.Counter("filbertrack_requests_total",
-                      kind + "," + CodeLabel(figures.code));
-  if (figures.sends > 1) {
+                      kind + "," + CodeLabel(request_metrics.code));
+  if (request_metrics.sends > 1) {
     m_metrics.Counter("filbertrack_resends_total", kind) +=
-        static_cast<uint64_t>(figures.sends - 1);
+        static_cast<uint64_t>(request_metrics.sends - 1);
   }
-  if (figures.first_event) {
+  if (request_metrics.first_event) {
     m_metrics
         .Latency("filbertrack_first_event_seconds",
-                 Label("model", figures.model))
-        .Add(*figures.first_event);
+                 Label("model", request_metrics.model))
+        .Add(*request_metrics.first_event);
   }
-  if (figures.longest_pause) {
+  if (request_metrics.longest_pause) {
     m_metrics.Latency("filbertrack_longest_pause_seconds")
-        .Add(*figures.longest_pause);
+        .Add(*request_metrics.longest_pause);
   }
-  m_metrics.Latency("filbertrack_request_seconds", kind).Add(figures.total);
+  m_metrics.Latency("filbertrack_request_seconds", kind)
+      .Add(request_metrics.total);
 }
 
 void EntryMetrics::OnRejected(ResultCode code) {
--- a/source/entry_peers.cc
+++ b/source/entry_peers.cc
@@ -35,10 +35,10 @@
       m_feed(feed),
       m_roster(loop, m_own, listen, {}, records, RosterEvents()),
       m_started(MonotonicNow()),
-      m_config_fetch(policy.ask_timeout, Duration(0)),
-      m_servers_fetch(policy.ask_timeout, policy.fetch_spacing),
+      m_config_fetch(policy.request_timeout, Duration(0)),
+      m_servers_fetch(policy.request_timeout, policy.min_fetch_gap),
       m_gossip(m_own.name, m_own.data_centre, {}),
-      m_exchange(policy.loads),
+      m_load_exchange(policy.loads),
       m_random(RendezvousWeight("peers", m_own.name)) {}
 
 EntryPeers::~EntryPeers() = default;
@@ -48,7 +48,7 @@
           [this](const FleetHost& host, const std::string& address) {
             AddPeer(host, address);
           },
-          [this] { m_listed = true; }};
+          [this] { m_has_list = true; }};
 }
 
 void EntryPeers::Start() {
@@ -59,14 +59,14 @@
 void EntryPeers::OnSecret(const std::string& secret) {
   m_secret = secret;
   Listen(secret);
-  m_round_timer = m_loop.Every(m_policy.interval, [this] { Round(); });
+  m_round_timer = m_loop.Every(m_policy.interval, [this] { RunRound(); });
 }
 
 void EntryPeers::Listen(const std::string& secret) {
   m_server = std::make_unique<PeerServer>(
       m_loop, secret,
       [this](std::string_view payload, const PeerServer::Answer& answer) {
-        OnQuestion(payload, answer);
+        OnRequest(payload, answer);
       });
   Address bound;
   if (!m_server->Listen(m_listen, &bound)) {
@@ -109,49 +109,50 @@
          m_peers.size() <= m_policy.neighbours;
 }
 
-void EntryPeers::OnOwnChange() {
+void EntryPeers::OnLocalChange() {
   const uint64_t config =
       m_host.catalog() == nullptr ? 0 : m_host.catalog()->version();
   const uint64_t servers = m_host.server_log().revision();
   const EvacuationUpdate evacuations = m_host.evacuations().News();
-  if (config == m_told_config && servers == m_told_servers &&
-      evacuations == m_told_evacuations) {
+  if (config == m_announced_config && servers == m_announced_servers &&
+      evacuations == m_announced_evacuations) {
     return;
   }
   // Registrations change often, so only those who hear of it from the store
   // tell the others at once.
-  const bool tells = m_watching || config != m_told_config ||
-                     evacuations != m_told_evacuations;
-  m_told_evacuations = evacuations;
-  m_told_config = config;
-  m_told_servers = servers;
-  if (tells && m_round_timer != nullptr) {
-    Round();
+  const bool announces = m_watching || config != m_announced_config ||
+                         evacuations != m_announced_evacuations;
+  m_announced_evacuations = evacuations;
+  m_announced_config = config;
+  m_announced_servers = servers;
+  if (announces && m_round_timer != nullptr) {
+    RunRound();
   }
 }
 
-void EntryPeers::Round() {
+void EntryPeers::RunRound() {
   const TimePoint now = MonotonicNow();
   m_gossip.ForgetOld(now);
-  SumLoads(now);
+  UpdateRemoteLoads(now);
   m_host.BlockPoisonRequests();
-  NameTrialHosts(now);
-  NameLimitHosts(now);
-  ChooseWatch(now);
+  UpdateTrialHosts(now);
+  UpdateLimitHosts(now);
+  UpdateWatching(now);
   AskLocalPeers(now);
   ExchangeLoads(now);
 }
 
-void EntryPeers::NameLimitHosts(TimePoint now) {
-  const bool same = m_limit_hosts_membership == m_gossip.membership() &&
-                    now - m_limit_hosts_named < m_policy.naming_interval;
-  if (same && !IsSettling(now)) {
+void EntryPeers::UpdateLimitHosts(TimePoint now) {
+  const bool same =
+      m_limit_hosts_membership == m_gossip.membership() &&
+      now - m_limit_hosts_updated < m_policy.host_refresh_interval;
+  if (same && !IsStartingUp(now)) {
     return;
   }
   m_limit_hosts_membership = m_gossip.membership();
-  m_limit_hosts_named = now;
+  m_limit_hosts_updated = now;
   std::vector<std::string> hosts = m_gossip.Hosts(now);
-  if (IsSettling(now)) {
+  if (IsStartingUp(now)) {
     for (const auto& [name, peer] : m_peers) {
       hosts.push_back(name);
     }
@@ -159,7 +160,7 @@
   m_host.backpressure().SetFleet(hosts, now);
 }
 
-void EntryPeers::NameTrialHosts(TimePoint now) {
+void EntryPeers::UpdateTrialHosts(TimePoint now) {
   if (m_host.poison().IsIdle()) {
     return;
   }
@@ -176,14 +177,14 @@
 
 void EntryPeers::AskLocalPeers(TimePoint now) {
   size_t asked = 0;
-  auto next = m_peers.upper_bound(m_last_near);
+  auto next = m_peers.upper_bound(m_last_local_peer);
   for (size_t i = 0; i < m_peers.size() && asked < m_policy.neighbours; ++i) {
     if (next == m_peers.end()) {
       next = m_peers.begin();
     }
     if (IsLocal(next->second.host.data_centre) &&
         TryAsk(next->first, next->second, now)) {
-      m_last_near = next->first;
+      m_last_local_peer = next->first;
       ++asked;
     }
     ++next;
@@ -191,43 +192,44 @@
 }
 
 bool EntryPeers::TryAsk(const std::string& name, Peer& peer, TimePoint now) {
-  const Duration pause = peer.silent ? m_policy.silent_interval : Duration(0);
-  if (peer.busy() || now - peer.asked_at < pause) {
+  const Duration pause =
+      peer.unresponsive ? m_policy.unresponsive_interval : Duration(0);
+  if (peer.busy() || now - peer.last_request < pause) {
     return false;
   }
-  Ask(name, peer, Wants::kOwnOnly, now);
+  Ask(name, peer, LoadScope::kOwn, now);
   return true;
 }
 
 void EntryPeers::Ask(const std::string& name,
                      Peer& peer,
-                     Wants wants,
+                     LoadScope scope,
                      TimePoint now) {
-  peer.asked_at = now;
-  const GossipRequest ask{OwnGossipState(peer.host.data_centre),
-                          m_config_fetch.IsFrom(name),
-                          m_servers_fetch.IsFrom(name),
-                          wants != Wants::kOwnOnly,
-                          peer.known_poison_revision,
-                          wants == Wants::kFarAndNear,
-                          peer.known_limits_revision};
-  std::string message = EncodeGossipRequest(ask);
+  peer.last_request = now;
+  const GossipRequest request{OwnGossipState(peer.host.data_centre),
+                              m_config_fetch.IsFrom(name),
+                              m_servers_fetch.IsFrom(name),
+                              scope != LoadScope::kOwn,
+                              peer.known_poison_revision,
+                              scope == LoadScope::kRemoteAndLocal,
+                              peer.known_limits_revision};
+  std::string message = EncodeGossipRequest(request);
   m_sent.states += message.size();
   if (peer.client == nullptr) {
     peer.client = std::make_unique<PeerClient>(m_loop, m_secret, peer.address);
   }
   peer.client->Ask(
-      std::move(message), m_policy.ask_timeout,
-      [this, name](const std::string* payload) { OnAnswer(name, payload); });
+      std::move(message), m_policy.request_timeout,
+      [this, name](const std::string* payload) { OnReply(name, payload); });
 }
 
-void EntryPeers::OnAnswer(const std::string& name, const std::string* payload) {
+void EntryPeers::OnReply(const std::string& name, const std::string* payload) {
   const auto peer = m_peers.find(name);
   if (peer == m_peers.end()) {
     return;
   }
-  if (peer->second.silent != (payload == nullptr)) {
-    peer->second.silent = payload == nullptr;
+  if (peer->second.unresponsive != (payload == nullptr)) {
+    peer->second.unresponsive = payload == nullptr;
     Log(LogLevel::kInfo, payload == nullptr ? "peer-lost" : "peer-back",
         {{"peer", name}});
   }
@@ -239,89 +241,90 @@
   if (payload == nullptr) {
     return;
   }
-  const Result<GossipReply> answer = DecodeGossipReply(*payload);
-  if (!answer) {
+  const Result<GossipReply> reply = DecodeGossipReply(*payload);
+  if (!reply) {
     Log(LogLevel::kWarning, "peer-refused",
-        {{"peer", name}, {"why", answer.error().message}});
+        {{"peer", name}, {"why", reply.error().message}});
     return;
   }
-  NoteNews(answer->state, now);
-  if (!answer->state.remote_loads.empty()) {
+  RecordState(reply->state, now);
+  if (!reply->state.remote_loads.empty()) {
     // A relay's answer is the freshest there is.
-    SumLoads(now);
+    UpdateRemoteLoads(now);
   }
-  peer->second.known_poison_revision = answer->poison.revision;
-  m_host.poison().OnPeerUpdate(answer->poison, name, now);
-  peer->second.known_limits_revision = answer->limits.revision;
-  m_host.backpressure().OnPeerUpdate(answer->limits, name, now);
-  TakeOver(*answer);
-  WantNewer(name, answer->state);
+  peer->second.known_poison_revision = reply->poison.revision;
+  m_host.poison().OnPeerUpdate(reply->poison, name, now);
+  peer->second.known_limits_revision = reply->limits.revision;
+  m_host.backpressure().OnPeerUpdate(reply->limits, name, now);
+  ApplyReply(*reply);
+  FetchNewer(name, reply->state);
 }
 
-void EntryPeers::WantNewer(const std::string& name, const GossipState& state) {
+void EntryPeers::FetchNewer(const std::string& name, const GossipState& state) {
   const TimePoint now = MonotonicNow();
   const uint64_t own =
       m_host.catalog() == nullptr ? 0 : m_host.catalog()->version();
-  const bool config =
+  const bool fetch_config =
       state.config_version > own && m_config_fetch.MayBegin(now);
-  const bool servers =
+  const bool fetch_servers =
       state.servers_revision > m_host.server_log().revision() &&
       m_servers_fetch.MayBegin(now);
   const auto peer = m_peers.find(name);
-  if ((!config && !servers) || peer == m_peers.end() || peer->second.busy()) {
+  if ((!fetch_config && !fetch_servers) || peer == m_peers.end() ||
+      peer->second.busy()) {
     return;
   }
-  if (config) {
+  if (fetch_config) {
     m_config_fetch.Begin(name, now);
   }
-  if (servers) {
+  if (fetch_servers) {
     m_servers_fetch.Begin(name, now);
   }
-  Ask(name, peer->second, Wants::kOwnOnly, now);
+  Ask(name, peer->second, LoadScope::kOwn, now);
 }
 
-void EntryPeers::OnQuestion(std::string_view payload,
-                            const PeerServer::Answer& answer) {
-  const Result<GossipRequest> ask = DecodeGossipRequest(payload);
-  if (!ask) {
-    Log(LogLevel::kWarning, "peer-refused", {{"why", ask.error().message}});
+void EntryPeers::OnRequest(std::string_view payload,
+                           const PeerServer::Answer& answer) {
+  const Result<GossipRequest> request = DecodeGossipRequest(payload);
+  if (!request) {
+    Log(LogLevel::kWarning, "peer-refused", {{"why", request.error().message}});
     return;
   }
-  const GossipState& requester = ask->state;
-  NoteNews(requester, MonotonicNow());
+  const GossipState& requester = request->state;
+  RecordState(requester, MonotonicNow());
   AddPeer({requester.node, requester.data_centre, requester.capacity,
            requester.store_fails},
           requester.address);
-  answer(Answer(*ask));
+  answer(MakeReply(*request));
   // The asker may know more: it is asked back at once, so that a change passes
   // on at the speed of the network and not of the rounds.
-  WantNewer(requester.node, requester);
+  FetchNewer(requester.node, requester);
 }
 
-std::string EntryPeers::Answer(const GossipRequest& ask) {
-  GossipState own = OwnGossipState(ask.state.data_centre);
-  if (ask.wants_remote_loads) {
+std::string EntryPeers::MakeReply(const GossipRequest& request) {
+  GossipState own = OwnGossipState(request.state.data_centre);
+  if (request.wants_remote_loads) {
     m_gossip.AddRemoteLoads(own, MonotonicNow());
   }
-  if (ask.wants_local_loads) {
-    m_gossip.AddLocalLoads(own, ask.state.node, MonotonicNow());
+  if (request.wants_local_loads) {
+    m_gossip.AddLocalLoads(own, request.state.node, MonotonicNow());
   }
-  GossipReply answer = MakeGossipReply(
-      own, ask.wants_config ? m_host.compressed_catalog() : std::string(),
-      m_host.server_log(), ask);
-  answer.poison =
-      m_host.poison().Since(ask.known_poison_revision, MonotonicNow());
-  answer.limits =
-      m_host.backpressure().Since(ask.known_limits_revision, MonotonicNow());
-  std::string message = EncodeGossipReply(answer);
-  m_sent.configs += answer.config.size();
-  (answer.servers.empty() ? m_sent.states : m_sent.servers) +=
-      message.size() - answer.config.size();
+  GossipReply reply = MakeGossipReply(
+      own, request.wants_config ? m_host.compressed_catalog() : std::string(),
+      m_host.server_log(), request);
+  reply.poison =
+      m_host.poison().Since(request.known_poison_revision, MonotonicNow());
+  reply.limits = m_host.backpressure().Since(request.known_limits_revision,
+                                             MonotonicNow());
+  std::string message = EncodeGossipReply(reply);
+  m_sent.configs += reply.config.size();
+  (reply.servers.empty() ? m_sent.states : m_sent.servers) +=
+      message.size() - reply.config.size();
   return message;
 }
 
-void EntryPeers::TakeOverConfig(const GossipReply& answer) {
-  const auto text = Decompress(answer.config, kMaxConfigBytes);
+void EntryPeers::ApplyConfig(const GossipReply& reply) {
+  const auto text = Decompress(reply.config, kMaxConfigBytes);
   Result<Catalog> catalog =
       text ? m_decoder.ReadCatalog(*text)
            : Fail(ResultCode::kResourceInvalid,
@@ -332,21 +335,21 @@
                      *text);
   } else {
     Log(LogLevel::kError, "config-invalid",
-        {{"peer", answer.state.node}, {"why", catalog.error().message}});
+        {{"peer", reply.state.node}, {"why", catalog.error().message}});
   }
 }
 
-void EntryPeers::TakeOver(const GossipReply& answer) {
-  if (!answer.config.empty()) {
-    TakeOverConfig(answer);
+void EntryPeers::ApplyReply(const GossipReply& reply) {
+  if (!reply.config.empty()) {
+    ApplyConfig(reply);
   }
-  if (answer.servers.empty() && !answer.servers_complete) {
+  if (reply.servers.empty() && !reply.servers_complete) {
     return;
   }
   ServerChanges changes;
-  changes.is_complete = answer.servers_complete;
-  changes.revision = answer.state.servers_revision;
-  for (const LoggedObject& object : answer.servers) {
+  changes.is_complete = reply.servers_complete;
+  changes.revision = reply.state.servers_revision;
+  for (const LoggedObject& object : reply.servers) {
     if (object.text.empty()) {
       changes.removed.push_back({object.id, object.version});
       continue;
@@ -363,7 +366,7 @@
   m_host.OnServers(std::move(changes));
 }
 
-void EntryPeers::NoteNews(const GossipState& state, TimePoint now) {
+void EntryPeers::RecordState(const GossipState& state, TimePoint now) {
   m_gossip.Note(state, now);
   m_host.OnPeerEvacuations(state.evacuations);
   if (state.store_back_for) {
--- a/source/entry_peers_loads.cc
+++ b/source/entry_peers_loads.cc
@@ -22,7 +22,7 @@
     m_exchange_timer.reset();
     return;
   }
-  m_exchange.UpdatePressure(m_host.MaxPressure(now));
+  m_load_exchange.UpdatePressure(m_host.MaxPressure(now));
   const Roles& roles = CurrentRoles(now);
   const std::vector<std::string> relays =
       roles.relays.find(m_own.data_centre)->second;
@@ -30,11 +30,11 @@
   const size_t requesters =
       roles.local_hosts + roles.remote_data_centres.size() * m_policy.relays;
   const Duration interval =
-      m_exchange.Interval(requesters, relays.size(), is_relay);
-  if (m_exchange.TryBegin(interval, now)) {
+      m_load_exchange.Interval(requesters, relays.size(), is_relay);
+  if (m_load_exchange.TryBegin(interval, now)) {
     if (is_relay) {
-      SumLoads(now);
-      AskAsRelay(relays, now);
+      UpdateRemoteLoads(now);
+      ExchangeAsRelay(relays, now);
     } else {
       AskRelay(relays, now);
     }
@@ -49,29 +49,31 @@
 }
 
 void EntryPeers::AskRelay(std::span<const std::string> relays, TimePoint now) {
-  const auto peer = m_peers.find(m_exchange.NextRelay(relays));
+  const auto peer = m_peers.find(m_load_exchange.NextRelay(relays));
   if (peer != m_peers.end() && !peer->second.busy()) {
     Ask(peer->first, peer->second,
-        m_exchange.busy() ? Wants::kFarAndNear : Wants::kFar, now);
+        m_load_exchange.busy() ? LoadScope::kRemoteAndLocal
+                               : LoadScope::kRemote,
+        now);
   }
 }
 
-void EntryPeers::AskAsRelay(std::span<const std::string> relays,
-                            TimePoint now) {
+void EntryPeers::ExchangeAsRelay(std::span<const std::string> relays,
+                                 TimePoint now) {
   for (const std::string& relay : relays) {
     const auto peer = m_peers.find(relay);
-    if (m_exchange.busy() && peer != m_peers.end()) {
+    if (m_load_exchange.busy() && peer != m_peers.end()) {
       TryAsk(peer->first, peer->second, now);
     }
   }
   // A copy: an answer may change the roles.
   const auto remote_data_centres = CurrentRoles(now).remote_data_centres;
   for (const std::string& data_centre : remote_data_centres) {
-    AskOneOf(data_centre, now);
+    AskDataCentre(data_centre, now);
   }
 }
 
-void EntryPeers::AskOneOf(const std::string& data_centre, TimePoint now) {
+void EntryPeers::AskDataCentre(const std::string& data_centre, TimePoint now) {
   // Relays hear more of the others than other hosts do.
   std::vector<std::string> names;
   const Roles& roles = CurrentRoles(now);
@@ -96,14 +98,14 @@
   }
 }
 
-void EntryPeers::SumLoads(TimePoint now) {
-  const FleetGossip::Loads heard = m_gossip.SumLoads(now);
+void EntryPeers::UpdateRemoteLoads(TimePoint now) {
+  const FleetGossip::Loads live = m_gossip.SumLoads(now);
   // Later a host that is listed and not heard has most likely gone.
   const size_t unreported_hosts =
-      IsSettling(now) && m_peers.size() > heard.hosts
-          ? m_peers.size() - heard.hosts
+      IsStartingUp(now) && m_peers.size() > live.hosts
+          ? m_peers.size() - live.hosts
           : 0;
-  m_host.OnRemoteLoads(heard, unreported_hosts);
+  m_host.OnRemoteLoads(live, unreported_hosts);
   const bool is_large = m_peers.size() > m_policy.neighbours;
   m_host.SetPrefersLocal(is_large);
   m_host.poison().SetRelayed(is_large);
--- a/source/entry_peers_roles.cc
+++ b/source/entry_peers_roles.cc
@@ -10,23 +10,23 @@
 
 namespace filbertrack {
 
-std::set<std::string, std::less<>> EntryPeers::FarDataCentres() const {
-  std::set<std::string, std::less<>> remote_loads;
+std::set<std::string, std::less<>> EntryPeers::RemoteDataCentres() const {
+  std::set<std::string, std::less<>> remote;
   for (const auto& [name, peer] : m_peers) {
     if (!IsLocal(peer.host.data_centre)) {
-      remote_loads.insert(peer.host.data_centre);
+      remote.insert(peer.host.data_centre);
     }
   }
-  return remote_loads;
+  return remote;
 }
 
 const EntryPeers::Roles& EntryPeers::CurrentRoles(TimePoint now) {
-  const bool current = m_roles &&
-                       m_roles->membership == m_gossip.membership() &&
-                       m_roles->peer_changes == m_peer_changes &&
-                       m_roles->store_fails == m_host.store_away() &&
-                       m_roles->watch_phase == WatchPhase(now);
-  if (current) {
+  const bool is_current = m_roles &&
+                          m_roles->membership == m_gossip.membership() &&
+                          m_roles->peer_changes == m_peer_changes &&
+                          m_roles->store_fails == m_host.store_away() &&
+                          m_roles->watch_phase == WatchPhase(now);
+  if (is_current) {
     return *m_roles;
   }
   Roles roles;
@@ -34,12 +34,12 @@
   roles.peer_changes = m_peer_changes;
   roles.store_fails = m_host.store_away();
   roles.watch_phase = WatchPhase(now);
-  roles.remote_data_centres = FarDataCentres();
+  roles.remote_data_centres = RemoteDataCentres();
   std::map<std::string, std::vector<FleetHost>, std::less<>> hosts;
   hosts[m_own.data_centre].push_back(m_own);
-  std::vector<FleetHost> heard = m_gossip.Fleet(now);
-  roles.watches = IsChosenToWatch(heard, now);
-  for (FleetHost& host : heard) {
+  std::vector<FleetHost> live = m_gossip.Fleet(now);
+  roles.watches = IsChosenToWatch(live, now);
+  for (FleetHost& host : live) {
     hosts[host.data_centre].push_back(std::move(host));
   }
   roles.local_hosts = hosts[m_own.data_centre].size();
@@ -54,10 +54,10 @@
 void EntryPeers::SetNeedsWatch(bool needs) {
   m_needs_watch = needs;
   m_feed.SetImmediate(needs);
-  ChooseWatch(MonotonicNow());
+  UpdateWatching(MonotonicNow());
 }
 
-void EntryPeers::ChooseWatch(TimePoint now) {
+void EntryPeers::UpdateWatching(TimePoint now) {
   const bool watching = m_needs_watch || CurrentRoles(now).watches;
   if (watching != m_watching) {
     m_watching = watching;
@@ -67,18 +67,18 @@
   }
 }
 
-bool EntryPeers::IsChosenToWatch(std::span<const FleetHost> heard,
+bool EntryPeers::IsChosenToWatch(std::span<const FleetHost> live,
                                  TimePoint now) const {
   std::vector<FleetHost> listed;
   for (const auto& [name, peer] : m_peers) {
-    if (!peer.silent) {
+    if (!peer.unresponsive) {
       listed.push_back(peer.host);
     }
   }
   FleetHost own = m_own;
   own.store_fails = m_host.store_away();
   return ShouldWatch(
-      {own, now - m_started, m_policy.first_start, m_listed, listed, heard},
+      {own, now - m_started, m_policy.first_start, m_has_list, listed, live},
       m_policy.watch);
 }
 
--- a/source/entry_poison_record.cc
+++ b/source/entry_poison_record.cc
@@ -92,7 +92,7 @@
   m_call_in_flight = true;
   m_read_at = MonotonicNow();
   m_records.Read(std::string(kRecordName),
-                 [this, alive = m_alive](const StoreAnswer& answer) {
+                 [this, alive = m_alive](const StoreResponse& answer) {
                    if (*alive) {
                      m_call_in_flight = false;
                      OnRead(answer);
@@ -100,7 +100,7 @@
                  });
 }
 
-void EntryPoisonRecord::OnRead(const StoreAnswer& answer) {
+void EntryPoisonRecord::OnRead(const StoreResponse& answer) {
   if (answer.status == StoreStatus::kOk) {
     ++m_start_reads;
     Apply(answer.object);
@@ -154,7 +154,7 @@
   m_call_in_flight = true;
   const std::string text = DesiredText();
   m_records.Write(std::string(kRecordName), text, m_version,
-                  [this, alive = m_alive, text](const StoreAnswer& answer) {
+                  [this, alive = m_alive, text](const StoreResponse& answer) {
                     if (!*alive) {
                       return;
                     }
--- a/source/entry_prober.cc
+++ b/source/entry_prober.cc
@@ -48,7 +48,7 @@
   m_alive = std::make_shared<bool>(true);
   m_probe_results.clear();
   m_probes.clear();
-  m_stretch = 1;
+  m_interval_factor = 1;
 }
 
 void EntryProber::Tick(const ServerDirectory& directory,
@@ -60,123 +60,124 @@
   std::erase_if(m_probe_results, is_unknown);
   const TimePoint now = m_clock();
   ForgetOldRounds(now);
-  Recover(now);
-  size_t allowed = Allowance(directory.servers().size(), now);
+  RecoverInterval(now);
+  size_t allowed = RefillBudget(directory.servers().size(), now);
   for (const auto& [id, server] : directory.servers()) {
     if (!IsProbed(server, catalog)) {
       continue;
     }
     ForgetEarlierInstance(server);
-    const Probe& probe = m_probes[id];
+    const ProbeState& probe = m_probes[id];
     const int divisor = server.membership ? 1 : m_policy.idle_divisor;
-    const Duration interval = m_policy.interval * divisor * m_stretch;
-    const bool due = probe.round == 0 || probe.unanswered_since ||
-                     now - probe.asked_at >= interval;
-    if (probe.open == 0 && due && allowed > 0) {
+    const Duration interval = m_policy.interval * divisor * m_interval_factor;
+    const bool is_due = probe.round == 0 || probe.unanswered_since ||
+                        now - probe.started_at >= interval;
+    if (probe.in_flight == 0 && is_due && allowed > 0) {
       --allowed;
-      m_allowance -= 1;
-      Ask(server);
+      m_budget -= 1;
+      StartRound(server);
     }
   }
 }
 
 void EntryProber::ForgetEarlierInstance(const BackendServer& server) {
-  Probe& probe = m_probes[server.id];
+  ProbeState& probe = m_probes[server.id];
   if (IsNewerInstance(server.process_start_ms, probe.process_start_ms)) {
     // Answers that are still to come belong to a round that is none now.
-    probe = Probe{};
+    probe = ProbeState{};
     m_probe_results.erase(server.id);
   }
   probe.process_start_ms = server.process_start_ms;
 }
 
-void EntryProber::Ask(const BackendServer& server) {
-  Probe& probe = m_probes[server.id];
+void EntryProber::StartRound(const BackendServer& server) {
+  ProbeState& probe = m_probes[server.id];
   m_rounds.push_back({m_clock(), false, IsSilent(server.id)});
   probe.round = m_forgotten_rounds + m_rounds.size();
   probe.answered = false;
-  probe.asked_at = m_clock();
+  probe.started_at = m_clock();
   const uint64_t round = probe.round;
-  if (!m_policy.asks_twice) {
-    AskOnce(server, m_policy.patience);
+  if (!m_policy.hedged) {
+    SendProbe(server, m_policy.timeout);
     return;
   }
   // Counted as open already, so that the round does not end before it is asked.
-  ++probe.open;
-  m_schedule(m_policy.second_after, [this, server, round, alive = m_alive] {
+  ++probe.in_flight;
+  m_schedule(m_policy.hedge_delay, [this, server, round, alive = m_alive] {
     if (*alive) {
-      AskAgain(server, round);
+      SendHedge(server, round);
     }
   });
-  AskOnce(server, m_policy.patience);
+  SendProbe(server, m_policy.timeout);
 }
 
-void EntryProber::AskAgain(const BackendServer& server, uint64_t round) {
+void EntryProber::SendHedge(const BackendServer& server, uint64_t round) {
   const auto found = m_probes.find(server.id);
   if (found == m_probes.end() || found->second.round != round) {
     return;
   }
-  --found->second.open;
+  --found->second.in_flight;
   if (!found->second.answered) {
-    AskOnce(server, m_policy.patience - m_policy.second_after);
+    SendProbe(server, m_policy.timeout - m_policy.hedge_delay);
   }
 }
 
-void EntryProber::AskOnce(const BackendServer& server, Duration timeout) {
-  Probe& probe = m_probes[server.id];
-  ++probe.open;
+void EntryProber::SendProbe(const BackendServer& server, Duration timeout) {
+  ProbeState& probe = m_probes[server.id];
+  ++probe.in_flight;
   m_engines.Probe(server, timeout,
                   [this, id = server.id, round = probe.round,
                    alive = m_alive](const ProbeAnswer& answer) {
                     if (*alive) {
-                      OnAnswer(id, round, answer);
+                      OnProbeAnswer(id, round, answer);
                     }
                   });
 }
 
-void EntryProber::OnAnswer(const std::string& id,
-                           uint64_t round,
-                           const ProbeAnswer& answer) {
+void EntryProber::OnProbeAnswer(const std::string& id,
+                                uint64_t round,
+                                const ProbeAnswer& answer) {
   const auto found = m_probes.find(id);
   if (found == m_probes.end() || found->second.round != round) {
     return;
   }
-  Probe& probe = found->second;
-  --probe.open;
+  ProbeState& probe = found->second;
+  --probe.in_flight;
   if (answer.wrong_server || answer.answered) {
     MarkAnswered(round);
     probe.unanswered_since.reset();
   }
   if (answer.wrong_server) {
     probe.answered = true;
-    probe.ended = true;
-    Note(id, {HostHealth::kGone, false, probe.process_start_ms});
+    probe.completed = true;
+    RecordResult(id, {HostHealth::kGone, false, probe.process_start_ms});
     return;
   }
   if (answer.answered) {
     probe.answered = true;
-    probe.ended = true;
-    Note(id, {HostHealth::kAnswers, answer.busy, answer.process_start_ms});
+    probe.completed = true;
+    RecordResult(id,
+                 {HostHealth::kAnswers, answer.busy, answer.process_start_ms});
     return;
   }
-  if (probe.open == 0 && !probe.answered) {
+  if (probe.in_flight == 0 && !probe.answered) {
     OnUnanswered(id, probe);
   }
 }
 
-void EntryProber::OnUnanswered(const std::string& id, Probe& probe) {
+void EntryProber::OnUnanswered(const std::string& id, ProbeState& probe) {
   if (!probe.unanswered_since) {
-    probe.unanswered_since = probe.asked_at;
+    probe.unanswered_since = probe.started_at;
   }
-  const Verdict verdict = Judge(*probe.unanswered_since);
+  const Verdict verdict = Evaluate(*probe.unanswered_since);
   if (verdict == Verdict::kUndecided) {
     return;
   }
-  NoteLate(verdict == Verdict::kLate, m_clock());
+  UpdateLateness(verdict == Verdict::kProberLate, m_clock());
   probe.unanswered_since.reset();
   if (verdict == Verdict::kSilent) {
-    probe.ended = true;
-    Note(id, {HostHealth::kSilent, false, probe.process_start_ms});
+    probe.completed = true;
+    RecordResult(id, {HostHealth::kSilent, false, probe.process_start_ms});
   }
 }
 
@@ -192,79 +193,81 @@
   }
 }
 
-EntryProber::Verdict EntryProber::Judge(TimePoint asked_at) const {
+EntryProber::Verdict EntryProber::Evaluate(TimePoint started_at) const {
   const TimePoint now = m_clock();
   size_t rounds = 0;
   size_t answered = 0;
   for (const Round& round : m_rounds) {
-    const bool counts = round.asked_at >= asked_at - m_policy.same_time &&
-                        now - round.asked_at >= m_policy.second_after &&
-                        !round.expected;
+    const bool counts =
+        round.started_at >= started_at - m_policy.comparison_window &&
+        now - round.started_at >= m_policy.hedge_delay && !round.was_silent;
     rounds += counts ? 1 : 0;
     answered += counts && round.answered ? 1 : 0;
   }
   if (rounds < m_policy.min_rounds) {
-    return m_stretch > 1 ? Verdict::kUndecided : Verdict::kSilent;
+    return m_interval_factor > 1 ? Verdict::kUndecided : Verdict::kSilent;
   }
   const bool late = static_cast<double>(answered) <
                     m_policy.min_answered * static_cast<double>(rounds);
-  return late ? Verdict::kLate : Verdict::kSilent;
+  return late ? Verdict::kProberLate : Verdict::kSilent;
 }
 
 void EntryProber::ForgetOldRounds(TimePoint now) {
-  const Duration life =
-      2 * m_stretch * (m_policy.patience + m_policy.same_time);
-  while (!m_rounds.empty() && now - m_rounds.front().asked_at > life) {
+  const Duration retention =
+      2 * m_interval_factor * (m_policy.timeout + m_policy.comparison_window);
+  while (!m_rounds.empty() && now - m_rounds.front().started_at > retention) {
     m_rounds.pop_front();
     ++m_forgotten_rounds;
   }
 }
 
-void EntryProber::NoteLate(bool late, TimePoint now) {
+void EntryProber::UpdateLateness(bool late, TimePoint now) {
   if (late != m_was_late) {
     m_was_late = late;
     Log(LogLevel::kWarning, late ? "prober-late" : "prober-timely",
-        {{"rounds", m_rounds.size()}, {"stretch", m_stretch}});
+        {{"rounds", m_rounds.size()}, {"stretch", m_interval_factor}});
   }
   if (!late) {
     return;
   }
   // What was asked before the latest change still comes back late.
-  const Duration settled = m_policy.patience + m_policy.interval;
-  if (m_stretch < m_policy.most_stretch && now - m_stretched_at > settled) {
-    m_stretch *= 2;
-    m_stretched_at = now;
+  const Duration settle_time = m_policy.timeout + m_policy.interval;
+  if (m_interval_factor < m_policy.max_interval_factor &&
+      now - m_factor_changed_at > settle_time) {
+    m_interval_factor *= 2;
+    m_factor_changed_at = now;
   }
 }
 
-size_t EntryProber::Allowance(size_t hosts, TimePoint now) {
+size_t EntryProber::RefillBudget(size_t hosts, TimePoint now) {
   const Duration since = now - m_ticked_at;
   m_ticked_at = now;
-  if (m_stretch == 1) {
-    m_allowance = 0;
+  if (m_interval_factor == 1) {
+    m_budget = 0;
     return hosts;
   }
-  const double interval = ToSeconds(m_policy.interval * m_stretch);
-  const double earned = m_policy.spread_headroom * static_cast<double>(hosts) *
+  const double interval = ToSeconds(m_policy.interval * m_interval_factor);
+  const double earned = m_policy.rate_headroom * static_cast<double>(hosts) *
                         ToSeconds(since) / interval;
-  m_allowance = std::min(std::max(0.0, m_allowance) + earned, earned + 1);
-  return static_cast<size_t>(m_allowance);
+  m_budget = std::min(std::max(0.0, m_budget) + earned, earned + 1);
+  return static_cast<size_t>(m_budget);
 }
 
-void EntryProber::Recover(TimePoint now) {
-  if (m_stretch > 1 && now - m_stretched_at > m_policy.recovery) {
-    m_stretch /= 2;
-    m_stretched_at = now;
+void EntryProber::RecoverInterval(TimePoint now) {
+  if (m_interval_factor > 1 &&
+      now - m_factor_changed_at > m_policy.recovery_interval) {
+    m_interval_factor /= 2;
+    m_factor_changed_at = now;
   }
 }
 
-void EntryProber::Note(const std::string& id,
-                       const HostProbeResult& now_found) {
+void EntryProber::RecordResult(const std::string& id,
+                               const HostProbeResult& result) {
   HostProbeResult& probe_result = m_probe_results[id];
-  const bool restarted = IsNewerInstance(now_found.process_start_ms,
-                                         probe_result.process_start_ms);
-  const bool changed = probe_result.health != now_found.health;
-  probe_result = now_found;
+  const bool restarted =
+      IsNewerInstance(result.process_start_ms, probe_result.process_start_ms);
+  const bool changed = probe_result.health != result.health;
+  probe_result = result;
   if (changed || restarted) {
     Log(LogLevel::kInfo, "host-health",
         {{"host", id},
@@ -273,14 +276,14 @@
   }
 }
 
-bool EntryProber::AllAsked(const ServerDirectory& directory,
-                           std::string_view service) const {
+bool EntryProber::AllProbed(const ServerDirectory& directory,
+                            std::string_view service) const {
   for (const auto& [id, server] : directory.servers()) {
     if (server.service != service || server.draining) {
       continue;
     }
     const auto probe = m_probes.find(id);
-    if (probe == m_probes.end() || !probe->second.ended) {
+    if (probe == m_probes.end() || !probe->second.completed) {
       return false;
     }
   }
--- a/source/entry_relay.cc
+++ b/source/entry_relay.cc
@@ -27,7 +27,7 @@
     case DispatchDenial::kAllBusy:
       return ResultCode::kOverloaded;
     case DispatchDenial::kAllHeldBack:
-      return ResultCode::kServersHoldOff;
+      return ResultCode::kServersBackingOff;
     case DispatchDenial::kAllEvacuated:
       return ResultCode::kEvacuated;
     case DispatchDenial::kNoneInRegions:
@@ -119,7 +119,7 @@
 
 void EntryRelay::Start() {
   const TimePoint now = MonotonicNow();
-  m_exchange->OnCallerGone([this] { Feed(CallerDisconnected{}); });
+  m_exchange->OnCallerDisconnected([this] { Feed(CallerDisconnected{}); });
   m_deadline_timer =
       m_context.loop.After(std::max(Duration(0), m_request.deadline - now),
                            [this] { Feed(DeadlinePassed{}); });
@@ -141,7 +141,7 @@
   }
   if (*alive && m_state.ended && !m_finished) {
     // The caller disconnected, so there is nobody to answer.
-    Finish({ResultCode::kCallerGone, m_state.known, 0});
+    Finish({ResultCode::kCallerDisconnected, m_state.known, 0});
   }
 }
 
@@ -156,7 +156,7 @@
   // Checked before the retry budget, so that a blocked request does not use up
   // the retries of others.
   if (!CheckAdmission(now)) {
-    Feed(NoTarget{ResultCode::kEndsServers});
+    Feed(NoTarget{ResultCode::kRequestEndsServers});
     return;
   }
   if (is_retry && !m_context.retries.TrySpend(now)) {
@@ -365,8 +365,8 @@
 void EntryRelay::Refuse(ResultCode code, Outcome outcome) {
   std::optional<Duration> retry_after;
   // Retrying helps in neither case.
-  const bool is_final =
-      code == ResultCode::kDeadlinePassed || code == ResultCode::kEndsServers;
+  const bool is_final = code == ResultCode::kDeadlinePassed ||
+                        code == ResultCode::kRequestEndsServers;
   if (outcome == Outcome::kNotRun && !is_final) {
     retry_after = m_retry_after;
   }
@@ -415,7 +415,7 @@
   m_deadline_timer.reset();
   // The selector counts the request at its target until the attempt is closed.
   CloseAttempt(false);
-  m_exchange->OnCallerGone(nullptr);
+  m_exchange->OnCallerDisconnected(nullptr);
   m_on_end(*this, end);
 }
 
--- a/source/entry_relay_poison.cc
+++ b/source/entry_relay_poison.cc
@@ -25,7 +25,7 @@
   if (!m_state.answer_started && !m_on_trial &&
       m_context.poison.IsBlocked(digest())) {
     m_end_reason = "blocked as a poison request";
-    Feed(NoTarget{ResultCode::kEndsServers});
+    Feed(NoTarget{ResultCode::kRequestEndsServers});
   }
 }
 
--- a/source/entry_roster.cc
+++ b/source/entry_roster.cc
@@ -18,8 +18,8 @@
 /// Between tries to read or write the records that a start needs: the first
 /// pause, doubled up to the longest. Without peers a host that starts while the
 /// store is away knows nothing until it is back.
-constexpr Duration kFirstStartRetry = Milliseconds(60);
-constexpr Duration kStartRetry = Milliseconds(500);
+constexpr Duration kMinStartBackoff = Milliseconds(60);
+constexpr Duration kMaxStartBackoff = Milliseconds(500);
 
 /// Takes the text up to the next separator off `rest`.
 std::string_view TakeField(std::string_view& rest) {
@@ -51,23 +51,24 @@
 }
 
 void EntryRoster::LoadSecret() {
-  m_records.Read(std::string(kSecretRecord), [this](const StoreAnswer& answer) {
-    if (answer.status == StoreStatus::kNotFound) {
-      // The first writer wins; the others are told what it wrote.
-      m_records.Write(
-          std::string(kSecretRecord), m_proposed_secret, 0,
-          [this](const StoreAnswer& written) { OnSecret(written); });
-      return;
-    }
-    OnSecret(answer);
-  });
+  m_records.Read(
+      std::string(kSecretRecord), [this](const StoreResponse& answer) {
+        if (answer.status == StoreStatus::kNotFound) {
+          // The first writer wins; the others are told what it wrote.
+          m_records.Write(
+              std::string(kSecretRecord), m_proposed_secret, 0,
+              [this](const StoreResponse& written) { OnSecret(written); });
+          return;
+        }
+        OnSecret(answer);
+      });
 }
 
-void EntryRoster::OnSecret(const StoreAnswer& answer) {
+void EntryRoster::OnSecret(const StoreResponse& answer) {
   if (answer.object.value.empty()) {
-    m_start_pause =
-        std::clamp(m_start_pause * 2, kFirstStartRetry, kStartRetry);
-    m_retry_timer = m_loop.After(m_start_pause, [this] { LoadSecret(); });
+    m_start_backoff =
+        std::clamp(m_start_backoff * 2, kMinStartBackoff, kMaxStartBackoff);
+    m_retry_timer = m_loop.After(m_start_backoff, [this] { LoadSecret(); });
     return;
   }
   m_events.on_secret(answer.object.value);
@@ -80,10 +81,10 @@
 }
 
 void EntryRoster::EnsureRegistered(const StoredObject* known) {
-  if (m_registers) {
+  if (m_registration_begun) {
     return;
   }
-  m_registers = true;
+  m_registration_begun = true;
   if (known == nullptr || known->value != OwnRecord()) {
     Register(known == nullptr ? 0 : known->version);
   }
@@ -92,7 +93,7 @@
 void EntryRoster::Register(uint64_t expected_version) {
   m_records.Write(
       std::string(kHostPrefix) + m_own.name, OwnRecord(), expected_version,
-      [this](const StoreAnswer& answer) {
+      [this](const StoreResponse& answer) {
         if (answer.status == StoreStatus::kOk) {
           return;
         }
@@ -100,8 +101,8 @@
         // replaces it.
         const uint64_t version =
             answer.status == StoreStatus::kConflict ? answer.object.version : 0;
-        m_retry_timer =
-            m_loop.After(kStartRetry, [this, version] { Register(version); });
+        m_retry_timer = m_loop.After(kMaxStartBackoff,
+                                     [this, version] { Register(version); });
       });
 }
 
@@ -109,11 +110,12 @@
   m_records.ReadAll(
       std::string(kHostPrefix),
       [this](StoreStatus status, const std::vector<StoredObject>& records) {
-        const bool complete = status == StoreStatus::kOk && !OnListed(records);
-        const bool settled =
-            complete && MonotonicNow() - m_started >= m_policy.settle;
+        const bool is_unchanged =
+            status == StoreStatus::kOk && !OnListed(records);
+        const bool settled = is_unchanged && MonotonicNow() - m_started >=
+                                                 m_policy.initial_list_duration;
         m_list_timer = m_loop.After(
-            settled ? m_policy.list_interval : m_policy.first_list_interval,
+            settled ? m_policy.list_interval : m_policy.initial_list_interval,
             [this] { List(); });
       });
 }
@@ -125,9 +127,9 @@
       std::find_if(records.begin(), records.end(),
                    [&own_key](const auto& row) { return row.key == own_key; });
   EnsureRegistered(own == records.end() ? nullptr : &*own);
-  bool any_new = false;
+  bool has_new = false;
   for (const StoredObject& record : records) {
-    any_new = m_known.insert(record.key).second || any_new;
+    has_new = m_known_keys.insert(record.key).second || has_new;
     FleetHost host;
     host.name = record.key.substr(kHostPrefix.size());
     std::string_view rest = record.value;
@@ -136,7 +138,7 @@
     std::from_chars(rest.data(), rest.data() + rest.size(), host.capacity);
     m_events.on_host(host, address);
   }
-  return any_new;
+  return has_new;
 }
 
 }  // namespace filbertrack
--- a/source/entry_settings.cc
+++ b/source/entry_settings.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-TextKey YesOrNo(std::string usual = "yes") {
-  return {std::move(usual), false, {"yes", "no"}};
+TextKey YesOrNo(std::string default_value = "yes") {
+  return {std::move(default_value), false, {"yes", "no"}};
 }
 
 /// Part of the retries that the rules allow; the rest covers requests that
