--- a/source/event_loop.cc
+++ b/source/event_loop.cc
@@ -18,7 +18,7 @@
 
 /// A loop with precise timers: by default libevent reads a coarse clock that
 /// moves once a kernel tick, and a timer of 1 ms takes up to 5 ms.
-event_base* NewBase() {
+event_base* CreateEventBase() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   event_base* base = event_base_new_with_config(config);
@@ -26,7 +26,7 @@
   return base;
 }
 
-void RunPosted(int, short, void* argument) {
+void RunOnce(int, short, void* argument) {
   const std::unique_ptr<std::function<void()>> action(
       static_cast<std::function<void()>*>(argument));
   (*action)();
@@ -72,7 +72,7 @@
   action();
 }
 
-EventLoop::EventLoop() : m_base(NewBase()) {
+EventLoop::EventLoop() : m_base(CreateEventBase()) {
   // A peer that closes its socket while we write must cost this process an
   // error on that socket, not its life.
   std::signal(SIGPIPE, SIG_IGN);
@@ -101,7 +101,7 @@
 
 void EventLoop::Call(Duration delay, std::function<void()> action) {
   const timeval after = ToTimeval(delay);
-  event_base_once(m_base, -1, EV_TIMEOUT, RunPosted,
+  event_base_once(m_base, -1, EV_TIMEOUT, RunOnce,
                   new std::function<void()>(std::move(action)), &after);
 }
 
--- a/source/explain_account.cc
+++ b/source/explain_account.cc
@@ -11,14 +11,14 @@
 namespace {
 
 /// Loads that are told to be older than this were never heard.
-constexpr int64_t kOldestLoadsMs = 60'000;
+constexpr int64_t kMaxLoadsAgeMs = 60'000;
 
 ResultCode Code(const RequestLogLine& line) {
   return static_cast<ResultCode>(NumberField(line, "code").value_or(0));
 }
 
 /// The caller had no right to what it asked for.
-bool IsOwed(ResultCode code) {
+bool IsCounted(ResultCode code) {
   return code != ResultCode::kUnauthorized && code != ResultCode::kNotFound &&
          code != ResultCode::kBadRequest && code != ResultCode::kBodyTooLarge;
 }
@@ -28,21 +28,22 @@
 }
 
 /// Lines of one request beside its end.
-struct Way {
+struct AttemptLines {
   const RequestLogLine* first_placed = nullptr;
   const RequestLogLine* first_failed = nullptr;
 };
 
-class Accountant {
+class LossAttributor {
  public:
-  Accountant(std::span<const RequestLogLine> trail, const AccountPolicy& policy)
-      : m_trail(trail), m_policy(policy) {}
-
-  LossAccount Run() {
-    ReadWays();
-    for (const RequestLogLine& line : m_trail) {
-      if (IsEnd(line) && IsOwed(Code(line))) {
-        AddEnd(line);
+  LossAttributor(std::span<const RequestLogLine> log_lines,
+                 const LossReportPolicy& policy)
+      : m_log_lines(log_lines), m_policy(policy) {}
+
+  LossReport Run() {
+    IndexAttemptLines();
+    for (const RequestLogLine& line : m_log_lines) {
+      if (IsEnd(line) && IsCounted(Code(line))) {
+        AddRequest(line);
       }
     }
     for (auto& [key, row] : m_rows) {
@@ -50,29 +51,31 @@
         row.loads_age_ms /= row.requests;
         row.predicted_ms /= row.requests;
       }
-      m_account.lost += row.lost;
-      m_account.rows.push_back(std::move(row));
+      m_report.lost += row.lost;
+      m_report.rows.push_back(std::move(row));
     }
-    return std::move(m_account);
+    return std::move(m_report);
   }
 
  private:
-  void ReadWays() {
-    for (const RequestLogLine& line : m_trail) {
-      Way& way = m_ways[TextField(line, "request")];
-      if (line.event == "placed" && way.first_placed == nullptr) {
-        way.first_placed = &line;
-      } else if (line.event == "attempt-ended" && way.first_failed == nullptr) {
-        way.first_failed = &line;
+  void IndexAttemptLines() {
+    for (const RequestLogLine& line : m_log_lines) {
+      AttemptLines& attempts = m_attempt_lines[TextField(line, "request")];
+      if (line.event == "placed" && attempts.first_placed == nullptr) {
+        attempts.first_placed = &line;
+      } else if (line.event == "attempt-ended" &&
+                 attempts.first_failed == nullptr) {
+        attempts.first_failed = &line;
       } else if (IsEnd(line)) {
-        m_began_ms = std::min(m_began_ms, line.time_ms);
+        m_first_end_ms = std::min(m_first_end_ms, line.time_ms);
       }
     }
   }
 
   static bool IsOnTime(const RequestLogLine& line) {
-    const int64_t aim = NumberField(line, "aim_ms").value_or(0);
-    return aim == 0 || NumberField(line, "first_ms").value_or(0) <= aim;
+    const int64_t target_latency = NumberField(line, "aim_ms").value_or(0);
+    return target_latency == 0 ||
+           NumberField(line, "first_ms").value_or(0) <= target_latency;
   }
 
   static bool HasLongPause(const RequestLogLine& line) {
@@ -87,14 +90,14 @@
     return Code(line) == ResultCode::kOk && status < kFirstError;
   }
 
-  void AddEnd(const RequestLogLine& line) {
-    ++m_account.asked;
+  void AddRequest(const RequestLogLine& line) {
+    ++m_report.total_requests;
     if (!IsAnswered(line)) {
-      Add(line, CauseOfFailure(line), 1);
+      AddLoss(line, CauseOfFailure(line), 1);
     } else if (!IsOnTime(line) || HasLongPause(line)) {
-      Add(line, CauseOfLateness(line), 1 - m_policy.late_share);
+      AddLoss(line, CauseOfLateness(line), 1 - m_policy.late_share);
     } else {
-      ++m_account.on_time;
+      ++m_report.on_time;
     }
   }
 
@@ -111,10 +114,11 @@
   }
 
   std::string FirstFailure(const RequestLogLine& line) const {
-    const auto way = m_ways.find(TextField(line, "request"));
-    const bool told =
-        way != m_ways.end() && way->second.first_failed != nullptr;
-    return told ? TextField(*way->second.first_failed, "why") : "not told";
+    const auto attempts = m_attempt_lines.find(TextField(line, "request"));
+    const bool is_known = attempts != m_attempt_lines.end() &&
+                          attempts->second.first_failed != nullptr;
+    return is_known ? TextField(*attempts->second.first_failed, "why")
+                    : "not told";
   }
 
   std::string CauseOfLateness(const RequestLogLine& line) const {
@@ -125,51 +129,54 @@
     if (IsOnTime(line)) {
       return "late by a pause of its group";
     }
-    const auto way = m_ways.find(TextField(line, "request"));
-    if (way == m_ways.end() || way->second.first_placed == nullptr) {
+    const auto attempts = m_attempt_lines.find(TextField(line, "request"));
+    if (attempts == m_attempt_lines.end() ||
+        attempts->second.first_placed == nullptr) {
       return "late at first, decision not told";
     }
-    const RequestLogLine& placed = *way->second.first_placed;
-    const bool foreseen = NumberField(placed, "predicted_ms").value_or(0) >
-                          NumberField(line, "aim_ms").value_or(0);
-    return foreseen ? "late at first, as predicted"
-                    : "late at first, against the prediction";
+    const RequestLogLine& placed = *attempts->second.first_placed;
+    const bool predicted_late =
+        NumberField(placed, "predicted_ms").value_or(0) >
+        NumberField(line, "aim_ms").value_or(0);
+    return predicted_late ? "late at first, as predicted"
+                          : "late at first, against the prediction";
   }
 
-  void Add(const RequestLogLine& line, std::string cause, double lost) {
-    const int64_t window =
-        (line.time_ms - m_began_ms) / m_policy.window_ms * m_policy.window_ms;
+  void AddLoss(const RequestLogLine& line, std::string cause, double lost) {
+    const int64_t window = (line.time_ms - m_first_end_ms) /
+                           m_policy.window_ms * m_policy.window_ms;
     const std::string route = TextField(line, "route");
     LossRow& row = m_rows[{cause, route, window}];
     row.cause = std::move(cause);
     row.route = route;
     row.model = TextField(line, "model");
-    row.window_ms = window;
+    row.window_start_ms = window;
     ++row.requests;
     row.lost += lost;
-    const auto way = m_ways.find(TextField(line, "request"));
-    const bool placed =
-        way != m_ways.end() && way->second.first_placed != nullptr;
-    const RequestLogLine& decision = placed ? *way->second.first_placed : line;
+    const auto attempts = m_attempt_lines.find(TextField(line, "request"));
+    const bool placed = attempts != m_attempt_lines.end() &&
+                        attempts->second.first_placed != nullptr;
+    const RequestLogLine& decision =
+        placed ? *attempts->second.first_placed : line;
     const int64_t age = NumberField(decision, "loads_age_ms").value_or(0);
-    row.loads_age_ms += static_cast<double>(std::min(age, kOldestLoadsMs));
+    row.loads_age_ms += static_cast<double>(std::min(age, kMaxLoadsAgeMs));
     row.predicted_ms +=
         static_cast<double>(NumberField(decision, "predicted_ms").value_or(0));
   }
 
-  std::span<const RequestLogLine> m_trail;
-  AccountPolicy m_policy;
-  std::map<std::string, Way, std::less<>> m_ways;
-  int64_t m_began_ms = std::numeric_limits<int64_t>::max();
+  std::span<const RequestLogLine> m_log_lines;
+  LossReportPolicy m_policy;
+  std::map<std::string, AttemptLines, std::less<>> m_attempt_lines;
+  int64_t m_first_end_ms = std::numeric_limits<int64_t>::max();
   std::map<std::tuple<std::string, std::string, int64_t>, LossRow> m_rows;
-  LossAccount m_account;
+  LossReport m_report;
 };
 
 }  // namespace
 
-LossAccount AccountLosses(std::span<const RequestLogLine> trail,
-                          const AccountPolicy& policy) {
-  return Accountant(trail, policy).Run();
+LossReport AttributeLosses(std::span<const RequestLogLine> log_lines,
+                           const LossReportPolicy& policy) {
+  return LossAttributor(log_lines, policy).Run();
 }
 
 std::vector<LossRow> SumLosses(std::span<const LossRow> rows,
@@ -179,9 +186,9 @@
     LossRow& sum = sums[row.*field];
     sum.*field = row.*field;
     const double requests = sum.requests + row.requests;
-    const double part = row.requests / std::max(1.0, requests);
-    sum.loads_age_ms += part * (row.loads_age_ms - sum.loads_age_ms);
-    sum.predicted_ms += part * (row.predicted_ms - sum.predicted_ms);
+    const double weight = row.requests / std::max(1.0, requests);
+    sum.loads_age_ms += weight * (row.loads_age_ms - sum.loads_age_ms);
+    sum.predicted_ms += weight * (row.predicted_ms - sum.predicted_ms);
     sum.requests += row.requests;
     sum.lost += row.lost;
   }
--- a/source/explain_request.cc
+++ b/source/explain_request.cc
@@ -14,8 +14,8 @@
 
 /// A loss shows in the log of the host that gives orders up to this long after
 /// a request met it: the time to notice a silent host, and as much again.
-constexpr int64_t kAfterMs = 1500;
-constexpr int64_t kBeforeMs = 500;
+constexpr int64_t kContextAfterMs = 1500;
+constexpr int64_t kContextBeforeMs = 500;
 
 int64_t Number(const RequestLogLine& line, const char* field) {
   return NumberField(line, field).value_or(0);
@@ -51,10 +51,10 @@
 /// Builds the context and the cause from a request's lines.
 class Explainer {
  public:
-  Explainer(std::span<const RequestLogLine> trail,
+  Explainer(std::span<const RequestLogLine> log_lines,
             std::vector<RequestLogLine> lines)
-      : m_trail(trail), m_lines(std::move(lines)) {
-    for (const RequestLogLine& line : m_lines) {
+      : m_log_lines(log_lines), m_request_lines(std::move(lines)) {
+    for (const RequestLogLine& line : m_request_lines) {
       const std::string target = TextField(line, "target");
       if (!target.empty()) {
         m_targets.insert(target);
@@ -64,21 +64,21 @@
 
   Explanation Run() {
     Explanation explanation;
-    explanation.cause = Cause();
+    explanation.cause = DescribeCause();
     explanation.context = Context();
-    explanation.lines = std::move(m_lines);
+    explanation.lines = std::move(m_request_lines);
     return explanation;
   }
 
  private:
-  const RequestLogLine* End() const {
-    const RequestLogLine* end = FindLast(m_lines, "request");
-    return end != nullptr ? end : FindLast(m_lines, "refused");
+  const RequestLogLine* FindEndLine() const {
+    const RequestLogLine* end = FindLast(m_request_lines, "request");
+    return end != nullptr ? end : FindLast(m_request_lines, "refused");
   }
 
-  std::string Cause() const {
-    const RequestLogLine* end = End();
-    if (m_lines.empty()) {
+  std::string DescribeCause() const {
+    const RequestLogLine* end = FindEndLine();
+    if (m_request_lines.empty()) {
       return "No line names this request. It came to another host, its lines "
              "were dropped (see 'lines-dropped'), or it was never read.";
     }
@@ -86,56 +86,62 @@
       return "The request has no line of its end: the process ended, or the "
              "line was dropped.";
     }
-    return OfCode(*end, static_cast<ResultCode>(Number(*end, "code"))) +
-           OfTargets();
+    return ExplainCode(*end, static_cast<ResultCode>(Number(*end, "code"))) +
+           DescribeTargets();
   }
 
-  std::string OfCode(const RequestLogLine& end, ResultCode code) const {
+  std::string ExplainCode(const RequestLogLine& end, ResultCode code) const {
     switch (code) {
       case ResultCode::kOk:
-        return OfAnswer(end);
+        return ExplainAnswer(end);
       case ResultCode::kNoServingGroup:
-        return Refusal(end) + ": no group served model '" +
-               TextField(end, "model") + "'." + Groups(end);
+        return DescribeRefusal(end) + ": no group served model '" +
+               TextField(end, "model") + "'." + DescribeServingGroups(end);
       case ResultCode::kOverloaded:
-        return Refusal(end) +
+        return DescribeRefusal(end) +
                ": the best target that was looked at would "
                "have answered after " +
                Milliseconds(Number(end, "predicted_ms")) + ", the aim is " +
                Milliseconds(Number(end, "aim_ms")) +
                "; the caller was told to come back after " +
-               Milliseconds(Number(end, "retry_after_ms")) + "." + Groups(end);
-      case ResultCode::kServersHoldOff:
-        return Refusal(end) +
+               Milliseconds(Number(end, "retry_after_ms")) + "." +
+               DescribeServingGroups(end);
+      case ResultCode::kServersBackingOff:
+        return DescribeRefusal(end) +
                ": every server that was left had asked for fewer requests or "
                "none; the caller was told to come back after " +
-               Milliseconds(Number(end, "retry_after_ms")) + "." + Groups(end);
+               Milliseconds(Number(end, "retry_after_ms")) + "." +
+               DescribeServingGroups(end);
       case ResultCode::kEvacuated:
-        return Refusal(end) +
+        return DescribeRefusal(end) +
                ": what could answer stands in data centres that the operator "
                "has evacuated; `evacuations` lines tell since when.";
       case ResultCode::kNoServerInRegions:
-        return Refusal(end) +
+        return DescribeRefusal(end) +
                ": no server stands in the regions that the route and the "
                "workspace allow.";
       case ResultCode::kAttemptRefused:
-        return Refusal(end) + " after " + std::to_string(Number(end, "sends")) +
-               " sends: " + Attempts() + ", and no retry was left or allowed.";
+        return DescribeRefusal(end) + " after " +
+               std::to_string(Number(end, "sends")) +
+               " sends: " + DescribeFailedAttempts() +
+               ", and no retry was left or allowed.";
       case ResultCode::kUpstreamFailed:
       case ResultCode::kStreamInterrupted:
-        return "Ended without a whole answer: " + Attempts() +
+        return "Ended without a whole answer: " + DescribeFailedAttempts() +
                "; it could not be sent or taken up once more.";
       case ResultCode::kDeadlinePassed:
         return "Its time passed after " +
-               Milliseconds(Number(end, "total_ms")) + ". " + Attempts() + ".";
-      case ResultCode::kCallerGone:
+               Milliseconds(Number(end, "total_ms")) + ". " +
+               DescribeFailedAttempts() + ".";
+      case ResultCode::kCallerDisconnected:
         return "The caller left after " +
                Milliseconds(Number(end, "total_ms")) +
                "; the first event came after " +
                Milliseconds(Number(end, "first_ms")) + ".";
-      case ResultCode::kEndsServers:
-        return Refusal(end) + ": servers end while they run what it asks." +
-               OfMark(TextField(end, "digest"));
+      case ResultCode::kRequestEndsServers:
+        return DescribeRefusal(end) +
+               ": servers end while they run what it asks." +
+               DescribeServerEnds(TextField(end, "digest"));
       default:
         return std::string(ResultCodeInfo(code).meaning) +
                " The configuration was " +
@@ -145,7 +151,7 @@
 
   /// What was known of the request when it was turned away. An attempt before
   /// may have run.
-  static std::string Refusal(const RequestLogLine& end) {
+  static std::string DescribeRefusal(const RequestLogLine& end) {
     const std::string outcome = TextField(end, "outcome");
     return outcome == OutcomeName(Outcome::kNotRun)
                ? "Refused as not run"
@@ -153,18 +159,19 @@
                      (outcome.empty() ? "not told" : outcome);
   }
 
-  std::string OfAnswer(const RequestLogLine& end) const {
+  std::string ExplainAnswer(const RequestLogLine& end) const {
     const int64_t first = Number(end, "first_ms");
-    const int64_t aim = Number(end, "aim_ms");
+    const int64_t target_latency = Number(end, "aim_ms");
     if (Number(end, "sends") > 1) {
       return "Answered by its send number " +
-             std::to_string(Number(end, "sends")) + ": " + Attempts() + ".";
+             std::to_string(Number(end, "sends")) + ": " +
+             DescribeFailedAttempts() + ".";
     }
-    if (aim == 0 || first <= aim) {
+    if (target_latency == 0 || first <= target_latency) {
       return "Answered in time, the first event after " + Milliseconds(first) +
              ". If it was late, a pause between events was.";
     }
-    const RequestLogLine* placed = FindFirst(m_lines, "placed");
+    const RequestLogLine* placed = FindFirst(m_request_lines, "placed");
     if (placed == nullptr) {
       return "Late: the first event came after " + Milliseconds(first) + ".";
     }
@@ -176,9 +183,9 @@
   }
 
   /// What became of the attempts that failed.
-  std::string Attempts() const {
+  std::string DescribeFailedAttempts() const {
     std::string text;
-    for (const RequestLogLine& line : m_lines) {
+    for (const RequestLogLine& line : m_request_lines) {
       if (line.event != "attempt-ended") {
         continue;
       }
@@ -190,9 +197,9 @@
   }
 
   /// Which ends of servers were laid to copies of the request, and by whom.
-  std::string OfMark(const std::string& digest) const {
+  std::string DescribeServerEnds(const std::string& digest) const {
     std::string text;
-    for (const RequestLogLine& line : m_trail) {
+    for (const RequestLogLine& line : m_log_lines) {
       if (line.event == "request-marked" &&
           TextField(line, "digest") == digest &&
           TextField(line, "from") == "own") {
@@ -202,8 +209,8 @@
         break;
       }
     }
-    for (const RequestLogLine& line : m_trail) {
-      if (line.event == "server-ended" && HadRequest(line, digest)) {
+    for (const RequestLogLine& line : m_log_lines) {
+      if (line.event == "server-ended" && NamesRequest(line, digest)) {
         text += " " + line.node + " had a copy at " +
                 TextField(line, "server") + ", which ended (" +
                 TextField(line, "evidence") + ").";
@@ -213,8 +220,8 @@
   }
 
   /// Whether a line of a server's end names a copy of the request.
-  static bool HadRequest(const RequestLogLine& line,
-                         const std::string& digest) {
+  static bool NamesRequest(const RequestLogLine& line,
+                           const std::string& digest) {
     const auto requests = line.fields.find("requests");
     if (requests == line.fields.end() || !requests->is_array()) {
       return false;
@@ -227,15 +234,15 @@
   }
 
   /// What the host that gives orders found of the request's targets.
-  std::string OfTargets() const {
+  std::string DescribeTargets() const {
     std::string text;
-    for (const RequestLogLine& line : Near()) {
-      const bool is_close = line.event == "order" &&
-                            TextField(line, "order") == "close" &&
-                            m_targets.contains(TextField(line, "head"));
+    for (const RequestLogLine& line : LinesAround()) {
+      const bool is_group_close = line.event == "order" &&
+                                  TextField(line, "order") == "close" &&
+                                  m_targets.contains(TextField(line, "head"));
       const bool is_health = line.event == "host-health" &&
                              m_targets.contains(TextField(line, "host"));
-      if (is_close) {
+      if (is_group_close) {
         text += " The group of " + TextField(line, "head") + " was closed by " +
                 line.node + ": " + TextField(line, "why") + ".";
       } else if (is_health) {
@@ -247,9 +254,9 @@
   }
 
   /// How many groups served, as the holder of the lease last counted before.
-  std::string Groups(const RequestLogLine& end) const {
+  std::string DescribeServingGroups(const RequestLogLine& end) const {
     const RequestLogLine* latest = nullptr;
-    for (const RequestLogLine& line : m_trail) {
+    for (const RequestLogLine& line : m_log_lines) {
       if (line.event == "groups" && line.time_ms <= end.time_ms &&
           (latest == nullptr || latest->time_ms < line.time_ms)) {
         latest = &line;
@@ -268,21 +275,21 @@
   }
 
   /// All lines around the request's.
-  std::vector<RequestLogLine> Near() const {
-    std::vector<RequestLogLine> near;
-    const int64_t from = m_lines.front().time_ms - kBeforeMs;
-    const int64_t to = m_lines.back().time_ms + kAfterMs;
-    for (const RequestLogLine& line : m_trail) {
+  std::vector<RequestLogLine> LinesAround() const {
+    std::vector<RequestLogLine> around;
+    const int64_t from = m_request_lines.front().time_ms - kContextBeforeMs;
+    const int64_t to = m_request_lines.back().time_ms + kContextAfterMs;
+    for (const RequestLogLine& line : m_log_lines) {
       if (line.time_ms >= from && line.time_ms <= to) {
-        near.push_back(line);
+        around.push_back(line);
       }
     }
-    std::stable_sort(near.begin(), near.end(), Precedes);
-    return near;
+    std::stable_sort(around.begin(), around.end(), Precedes);
+    return around;
   }
 
   bool IsContext(const RequestLogLine& line) const {
-    static const std::set<std::string_view> kOfHost = {
+    static const std::set<std::string_view> kHostEvents = {
         "config",  "store-lost",        "store-returned", "stopping", "started",
         "stopped", "settings-reloaded", "peer-lost",      "peer-back"};
     if (line.event == "host-health" || line.event == "lease-gained" ||
@@ -293,15 +300,16 @@
       return m_targets.contains(TextField(line, "head")) ||
              m_targets.contains(TextField(line, "host"));
     }
-    return kOfHost.contains(line.event) && line.node == m_lines.front().node;
+    return kHostEvents.contains(line.event) &&
+           line.node == m_request_lines.front().node;
   }
 
   std::vector<RequestLogLine> Context() const {
     std::vector<RequestLogLine> context;
-    if (m_lines.empty()) {
+    if (m_request_lines.empty()) {
       return context;
     }
-    for (RequestLogLine& line : Near()) {
+    for (RequestLogLine& line : LinesAround()) {
       if (IsContext(line)) {
         context.push_back(std::move(line));
       }
@@ -309,8 +317,8 @@
     return context;
   }
 
-  std::span<const RequestLogLine> m_trail;
-  std::vector<RequestLogLine> m_lines;
+  std::span<const RequestLogLine> m_log_lines;
+  std::vector<RequestLogLine> m_request_lines;
   std::set<std::string, std::less<>> m_targets;
 };
 
@@ -330,7 +338,7 @@
 }
 
 std::vector<RequestLogLine> ReadRequestLog(std::istream& stream) {
-  std::vector<RequestLogLine> trail;
+  std::vector<RequestLogLine> log_lines;
   std::string text;
   while (std::getline(stream, text)) {
     const size_t begin = text.find('{');
@@ -348,30 +356,30 @@
     line.time_ms = fields.value("time_ms", int64_t{0});
     line.at_us = fields.value("at_us", int64_t{0});
     line.fields = std::move(fields);
-    trail.push_back(std::move(line));
+    log_lines.push_back(std::move(line));
   }
-  return trail;
+  return log_lines;
 }
 
-Explanation ExplainRequest(std::span<const RequestLogLine> trail,
+Explanation ExplainRequest(std::span<const RequestLogLine> log_lines,
                            std::string_view request_id) {
   std::vector<RequestLogLine> lines;
-  for (const RequestLogLine& line : trail) {
+  for (const RequestLogLine& line : log_lines) {
     if (TextField(line, "request") == request_id) {
       lines.push_back(line);
     }
   }
   std::stable_sort(lines.begin(), lines.end(), Precedes);
-  return Explainer(trail, std::move(lines)).Run();
+  return Explainer(log_lines, std::move(lines)).Run();
 }
 
 std::string FormatRequestLogLine(const RequestLogLine& line) {
-  static const std::set<std::string_view> kShownApart = {
+  static const std::set<std::string_view> kOmittedFields = {
       "event", "node", "time_ms", "at_us", "level", "program", "request"};
   std::string text =
       std::to_string(line.time_ms) + " " + line.node + " " + line.event;
   for (const auto& [name, value] : line.fields.items()) {
-    if (!kShownApart.contains(name)) {
+    if (!kOmittedFields.contains(name)) {
       text += " " + name + "=" +
               (value.is_string() ? value.get<std::string>() : value.dump());
     }
--- a/source/gateway.cc
+++ b/source/gateway.cc
@@ -13,10 +13,10 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kRateInterval = Milliseconds(100);
+constexpr Duration kRateRefreshInterval = Milliseconds(100);
 constexpr std::string_view kWatcherItem = "store watcher";
 constexpr Duration kDrainCheckInterval = Milliseconds(20);
-constexpr Duration kInProgressPause = Milliseconds(100);
+constexpr Duration kInProgressPollInterval = Milliseconds(100);
 constexpr Duration kMaxInProgress = Seconds(5);
 /// A larger answer is not kept for later tries with its idempotency key.
 constexpr size_t kMaxKeptAnswerBytes = 8 * 1024;
@@ -27,7 +27,7 @@
 };
 
 /// How long a second try waits for a running first one.
-TimePoint WaitEnd(const CallerRequest& request) {
+TimePoint InProgressDeadline(const CallerRequest& request) {
   return std::min(request.deadline, request.arrived + kMaxInProgress);
 }
 
@@ -90,14 +90,14 @@
     }
   };
   events.on_membership = [this] { OnMembership(); };
-  events.on_keyed = [this](const KeyedRequest& ask,
-                           const std::function<void(KeyedReply)>& answer) {
-    m_keys->OnAsked(ask, answer);
+  events.on_keyed = [this](const KeyedRequest& request,
+                           const std::function<void(KeyedReply)>& reply) {
+    m_keys->OnPeerRequest(request, reply);
   };
   m_peers = std::make_unique<GatewayPeers>(loop, settings, m_store, m_cache,
                                            m_fleet, m_parts, std::move(events));
   m_keys = std::make_unique<GatewayKeys>(loop, settings, m_store, *m_peers);
-  m_rate_timer = loop.Every(kRateInterval, [this] { RefreshRates(); });
+  m_rate_timer = loop.Every(kRateRefreshInterval, [this] { RefreshRates(); });
 }
 
 Gateway::~Gateway() = default;
@@ -110,10 +110,10 @@
       static_cast<size_t>(m_settings.Integer("callers", "max_header_bytes"));
   limits.idle_timeout = m_settings.Time("callers", "idle_timeout");
   m_caller_server = std::make_unique<HttpServer>(
-      m_loop, limits, [this](auto exchange) { OnCaller(exchange); });
+      m_loop, limits, [this](auto exchange) { OnCallerRequest(exchange); });
   m_admin_server = std::make_unique<HttpServer>(
       m_loop, HttpServerLimits(),
-      [this](auto exchange) { OnAdmin(*exchange); });
+      [this](auto exchange) { OnAdminRequest(*exchange); });
   const Result<Address> callers =
       m_caller_server->Listen(m_settings.At("callers", "listen"));
   if (!callers) {
@@ -134,7 +134,7 @@
   return true;
 }
 
-void Gateway::OnCaller(const std::shared_ptr<HttpExchange>& exchange) {
+void Gateway::OnCallerRequest(const std::shared_ptr<HttpExchange>& exchange) {
   const TimePoint now = MonotonicNow();
   RawRequest raw;
   raw.is_post = exchange->method() == HttpMethod::kPost;
@@ -156,7 +156,7 @@
     SendRefusal(*exchange, code, Outcome::kNotRun, request_id, retry_after);
   };
   if (m_peers->MayBeBehind(now)) {
-    refuse(ResultCode::kMayBeBehind, Seconds(1));
+    refuse(ResultCode::kConfigMayBeStale, Seconds(1));
     return;
   }
   if (!request) {
@@ -189,10 +189,10 @@
                   if (answer.verdict == KeyVerdict::kRun) {
                     RunClaimed(request, request_id, exchange, claim);
                   } else if (answer.verdict == KeyVerdict::kInProgress &&
-                             MonotonicNow() < WaitEnd(request)) {
+                             MonotonicNow() < InProgressDeadline(request)) {
                     // The first try may be about to end; its answer is what
                     // this caller wants. Asking again costs no write.
-                    m_loop.Call(kInProgressPause,
+                    m_loop.Call(kInProgressPollInterval,
                                 [this, request, request_id, exchange] {
                                   StartKeyed(request, request_id, exchange);
                                 });
@@ -222,17 +222,18 @@
     return;
   }
   m_router.Start(std::move(request), request_id, exchange,
-                 [this, claim](const RelayEnd& end) {
-                   KeyCompletion done{claim.key,  claim.claim_id,   end.outcome,
-                                      end.status, end.content_type, "",
-                                      false};
-                   done.has_body = end.code == ResultCode::kOk &&
-                                   !end.body.empty() &&
-                                   end.body.size() <= kMaxKeptAnswerBytes;
-                   if (done.has_body) {
-                     done.body = end.body;
+                 [this, claim](const RelayResult& result) {
+                   KeyCompletion completion{
+                       claim.key,     claim.claim_id,      result.outcome,
+                       result.status, result.content_type, "",
+                       false};
+                   completion.has_body =
+                       result.code == ResultCode::kOk && !result.body.empty() &&
+                       result.body.size() <= kMaxKeptAnswerBytes;
+                   if (completion.has_body) {
+                     completion.body = result.body;
                    }
-                   m_keys->Complete(std::move(done));
+                   m_keys->Complete(std::move(completion));
                  });
 }
 
@@ -250,15 +251,15 @@
   // itself the first and watches for itself.
   const auto watchers =
       static_cast<size_t>(m_settings.Integer("peers", "watchers"));
-  const bool watches = m_peers->table().IsChosen(
+  const bool is_watcher = m_peers->table().IsChosen(
       kWatcherItem, m_settings.Text("node", "data_centre"), watchers,
       MonotonicNow());
   m_watch->SetPrefixes(
-      watches ? std::vector<std::string>{std::string(kConfigRootKey),
-                                         std::string(kDomainStatePrefix),
-                                         std::string(kPlatformHostsPrefix),
-                                         std::string(kDivisionKey)}
-              : std::vector<std::string>());
+      is_watcher ? std::vector<std::string>{std::string(kConfigRootKey),
+                                            std::string(kDomainStatePrefix),
+                                            std::string(kPlatformHostsPrefix),
+                                            std::string(kDivisionKey)}
+                 : std::vector<std::string>());
   WatchMembers();
 }
 
@@ -309,7 +310,7 @@
          !m_peers->MayBeBehind(now) && m_peers->Share(now) > 0;
 }
 
-void Gateway::OnAdmin(HttpExchange& exchange) {
+void Gateway::OnAdminRequest(HttpExchange& exchange) {
   const std::string_view path = exchange.path();
   if (path == "/healthz") {
     exchange.Reply(200, {}, "ok\n");
--- a/source/gateway_keys.cc
+++ b/source/gateway_keys.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr Duration kTickInterval = Milliseconds(10);
-constexpr Duration kAskTimeout = Milliseconds(2500);
-constexpr Duration kCompletionRetry = Seconds(1);
+constexpr Duration kRequestTimeout = Milliseconds(2500);
+constexpr Duration kCompletionRetryInterval = Seconds(1);
 /// What is not recorded by then stays open in the log: later tries with the key
 /// are told that its outcome is unknown.
 constexpr size_t kMaxOpenCompletions = 100000;
@@ -69,17 +69,17 @@
 }
 
 void GatewayKeys::RetryCompletions(TimePoint now) {
-  for (auto& [id, open] : m_completions) {
-    if (open.asking || now < open.next_try) {
+  for (auto& [id, waiting] : m_completions) {
+    if (waiting.in_flight || now < waiting.next_attempt) {
       continue;
     }
-    open.asking = true;
-    open.next_try = now + kCompletionRetry;
-    Send(open.completion, [this, id = id](const KeyAnswer& answer) {
+    waiting.in_flight = true;
+    waiting.next_attempt = now + kCompletionRetryInterval;
+    Send(waiting.completion, [this, id = id](const KeyAnswer& answer) {
       if (answer.verdict == KeyVerdict::kRecorded) {
         m_completions.erase(id);
       } else {
-        m_completions[id].asking = false;
+        m_completions[id].in_flight = false;
       }
     });
   }
@@ -90,27 +90,27 @@
                         static_cast<uint64_t>(m_partition_count));
 }
 
-void GatewayKeys::Send(KeyOperation order, Done done) {
+void GatewayKeys::Send(KeyOperation operation, Done done) {
   const TimePoint now = MonotonicNow();
-  const std::string partition = PartitionOf(KeyOf(order));
+  const std::string partition = PartitionOf(KeyOf(operation));
   const std::string owner = m_peers.table().Owner("keyed/" + partition, now);
   if (owner == m_peers.table().self().node) {
-    SubmitHere(partition, std::move(order), std::move(done));
+    SubmitLocal(partition, std::move(operation), std::move(done));
     return;
   }
-  m_outgoing[owner].push_back({std::move(order), std::move(done), now});
+  m_outgoing[owner].push_back({std::move(operation), std::move(done), now});
 }
 
-void GatewayKeys::SubmitHere(const std::string& partition,
-                             KeyOperation order,
-                             Done done) {
+void GatewayKeys::SubmitLocal(const std::string& partition,
+                              KeyOperation operation,
+                              Done done) {
   std::unique_ptr<KeyPartition>& owned = m_partitions[partition];
   if (owned == nullptr) {
     owned = std::make_unique<KeyPartition>(partition, m_policy);
   }
   const uint64_t id = ++m_last_id;
   m_submitted[id] = std::move(done);
-  owned->Submit(id, std::move(order), MonotonicNow());
+  owned->Submit(id, std::move(operation), MonotonicNow());
 }
 
 void GatewayKeys::Tick() {
@@ -135,62 +135,64 @@
 }
 
 void GatewayKeys::Flush() {
-  for (auto& [node, orders] : m_outgoing) {
-    if (!orders.empty() && !m_asking[node]) {
-      m_asking[node] = true;
-      FlushTo(node, std::move(orders));
-      orders.clear();
+  for (auto& [node, operations] : m_outgoing) {
+    if (!operations.empty() && !m_in_flight[node]) {
+      m_in_flight[node] = true;
+      FlushTo(node, std::move(operations));
+      operations.clear();
     }
   }
 }
 
 void GatewayKeys::FlushTo(const std::string& node,
-                          std::vector<Outgoing> orders) {
-  KeyedRequest ask;
-  ask.from = m_peers.table().self().node;
-  for (const Outgoing& outgoing : orders) {
-    ask.orders.push_back(
-        {KeyOf(outgoing.order), EncodeKeyOperation(outgoing.order)});
+                          std::vector<Outgoing> operations) {
+  KeyedRequest request;
+  request.from = m_peers.table().self().node;
+  for (const Outgoing& outgoing : operations) {
+    request.orders.push_back(
+        {KeyOf(outgoing.operation), EncodeKeyOperation(outgoing.operation)});
   }
-  auto sent = std::make_shared<std::vector<Outgoing>>(std::move(orders));
-  m_peers.AskKeyed(
-      node, ask, kAskTimeout, [this, node, sent](const KeyedReply* answer) {
-        m_asking[node] = false;
+  auto sent = std::make_shared<std::vector<Outgoing>>(std::move(operations));
+  m_peers.SendKeyedRequest(
+      node, request, kRequestTimeout,
+      [this, node, sent](const KeyedReply* reply) {
+        m_in_flight[node] = false;
         for (size_t i = 0; i < sent->size(); ++i) {
           const bool known =
-              answer != nullptr && answer->verdicts.size() == sent->size();
-          (*sent)[i].done(known ? DecodeKeyAnswer(answer->verdicts[i])
+              reply != nullptr && reply->verdicts.size() == sent->size();
+          (*sent)[i].done(known ? DecodeKeyAnswer(reply->verdicts[i])
                                 : KeyAnswer());
         }
       });
 }
 
-void GatewayKeys::OnAsked(const KeyedRequest& ask,
-                          const std::function<void(KeyedReply)>& answer) {
-  struct Collected {
-    KeyedReply answer;
-    size_t open = 0;
+void GatewayKeys::OnPeerRequest(const KeyedRequest& request,
+                                const std::function<void(KeyedReply)>& reply) {
+  struct PendingReply {
+    KeyedReply reply;
+    size_t remaining = 0;
   };
-  auto collected = std::make_shared<Collected>();
-  collected->answer.verdicts.resize(ask.orders.size());
-  collected->open = ask.orders.size();
-  for (size_t i = 0; i < ask.orders.size(); ++i) {
-    const auto done = [collected, answer, i](const KeyAnswer& verdict) {
-      collected->answer.verdicts[i] = EncodeKeyAnswer(verdict);
-      if (--collected->open == 0) {
-        answer(collected->answer);
+  auto pending = std::make_shared<PendingReply>();
+  pending->reply.verdicts.resize(request.orders.size());
+  pending->remaining = request.orders.size();
+  for (size_t i = 0; i < request.orders.size(); ++i) {
+    const auto done = [pending, reply, i](const KeyAnswer& verdict) {
+      pending->reply.verdicts[i] = EncodeKeyAnswer(verdict);
+      if (--pending->remaining == 0) {
+        reply(pending->reply);
       }
     };
-    Result<KeyOperation> order = DecodeKeyOperation(ask.orders[i].payload);
-    if (!order) {
+    Result<KeyOperation> operation =
+        DecodeKeyOperation(request.orders[i].payload);
+    if (!operation) {
       done(KeyAnswer());
       continue;
     }
-    const std::string partition = PartitionOf(KeyOf(*order));
-    SubmitHere(partition, std::move(*order), done);
+    const std::string partition = PartitionOf(KeyOf(*operation));
+    SubmitLocal(partition, std::move(*operation), done);
   }
-  if (ask.orders.empty()) {
-    answer(KeyedReply());
+  if (request.orders.empty()) {
+    reply(KeyedReply());
   }
 }
 
@@ -203,18 +205,18 @@
       m_submitted.erase(submitted);
       done(answered->answer);
     } else if (const auto* read = std::get_if<ReadKeyObject>(&action)) {
-      m_store.Get(read->key, [this, name](const StoreAnswer& answer) {
+      m_store.Get(read->key, [this, name](const StoreResponse& response) {
         Run(name, m_partitions[name]->OnRead(
-                      answer.object.key, ToKeyStatus(answer.status),
-                      answer.object.value, answer.object.version));
+                      response.object.key, ToKeyStatus(response.status),
+                      response.object.value, response.object.version));
       });
     } else {
       const auto& write = std::get<WriteKeyObject>(action);
       m_store.Put(write.key, write.value, write.expected_version,
-                  [this, name, key = write.key](const StoreAnswer& answer) {
+                  [this, name, key = write.key](const StoreResponse& response) {
                     Run(name, m_partitions[name]->OnWritten(
-                                  key, ToKeyStatus(answer.status),
-                                  answer.object.version));
+                                  key, ToKeyStatus(response.status),
+                                  response.object.version));
                   });
     }
   }
--- a/source/gateway_peers.cc
+++ b/source/gateway_peers.cc
@@ -13,13 +13,13 @@
 
 constexpr Duration kSeedInterval = Seconds(1);
 /// The store is asked when the peers' word is older than this.
-constexpr Duration kProbeAfter = Milliseconds(1000);
+constexpr Duration kMaxConfirmationAge = Milliseconds(1000);
 constexpr Duration kProbeInterval = Milliseconds(500);
 /// Membership must stand this long before the entitlements are divided anew.
-constexpr Duration kDivisionSettle = Seconds(2);
+constexpr Duration kMembershipSettleTime = Seconds(2);
 /// A connection to a peer that is no longer asked is closed after this.
-constexpr Duration kNeighbourIdle = Seconds(5);
-constexpr Duration kAskTimeout = Seconds(1);
+constexpr Duration kNeighbourIdleTimeout = Seconds(5);
+constexpr Duration kRequestTimeout = Seconds(1);
 
 PeerState SelfState(const Settings& settings) {
   PeerState self;
@@ -56,7 +56,7 @@
       m_interval(settings.Time("peers", "interval")),
       m_table(SelfState(settings), TablePolicy(settings)),
       m_division(settings.Text("node", "name")) {
-  m_division_policy.loan_ttl = m_loans.loan_ttl;
+  m_division_policy.loan_ttl = m_loan_policy.loan_ttl;
   m_timer = loop.Every(m_interval, [this] { Tick(); });
 }
 
@@ -65,8 +65,8 @@
 Result<Address> GatewayPeers::Listen() {
   m_server = std::make_unique<PeerServer>(
       m_loop, m_key,
-      [this](std::string_view payload, const PeerServer::Answer& answer) {
-        OnQuestion(payload, answer);
+      [this](std::string_view payload, const PeerServer::Answer& reply) {
+        OnPeerMessage(payload, reply);
       });
   const Address& wanted = m_settings.At("peers", "listen");
   Address bound;
@@ -80,75 +80,76 @@
   return bound;
 }
 
-ExchangeState GatewayPeers::State() {
-  return {m_table, m_cache, m_fleet, m_parts, m_loans};
+ExchangeState GatewayPeers::MakeExchangeState() {
+  return {m_table, m_cache, m_fleet, m_parts, m_loan_policy};
 }
 
-void GatewayPeers::OnQuestion(std::string_view payload,
-                              const PeerServer::Answer& answer) {
+void GatewayPeers::OnPeerMessage(std::string_view payload,
+                                 const PeerServer::Answer& reply) {
   const Result<PeerMessage> message = DecodePeerMessage(payload);
   if (!message) {
     Log(LogLevel::kWarning, "peer-refused", {{"why", message.error().message}});
     return;
   }
-  if (const auto* ask = std::get_if<ExchangeRequest>(&*message)) {
-    ExchangeState state = State();
-    answer(EncodePeerMessage(MakeExchangeReply(state, *ask, MonotonicNow())));
+  if (const auto* request = std::get_if<ExchangeRequest>(&*message)) {
+    ExchangeState state = MakeExchangeState();
+    reply(
+        EncodePeerMessage(MakeExchangeReply(state, *request, MonotonicNow())));
   } else if (const auto* keyed = std::get_if<KeyedRequest>(&*message)) {
-    m_events.on_keyed(*keyed, [answer](const KeyedReply& verdicts) {
-      answer(EncodePeerMessage(verdicts));
+    m_events.on_keyed(*keyed, [reply](const KeyedReply& verdicts) {
+      reply(EncodePeerMessage(verdicts));
     });
   }
 }
 
 void GatewayPeers::Tick() {
   const TimePoint now = MonotonicNow();
-  AskNeighbours(now);
-  AskSeeds(now);
+  QueryNeighbours(now);
+  QuerySeeds(now);
   m_table.Forget(now);
-  Confirm(now);
+  UpdateConfirmations(now);
   ProbeStore(now);
-  KeepDivision(now);
+  UpdateDivision(now);
 }
 
-void GatewayPeers::AskNeighbours(TimePoint now) {
+void GatewayPeers::QueryNeighbours(TimePoint now) {
   std::erase_if(m_neighbours, [now](const auto& entry) {
-    return now - entry.second.asked_at > kNeighbourIdle;
+    return now - entry.second.asked_at > kNeighbourIdleTimeout;
   });
   for (const PeerState& peer : m_table.Neighbours(++m_round, now)) {
-    Ask(peer.node, peer.address, now);
+    Query(peer.node, peer.address, now);
   }
 }
 
-void GatewayPeers::AskSeeds(TimePoint now) {
-  if (now - m_seeds_asked < kSeedInterval) {
+void GatewayPeers::QuerySeeds(TimePoint now) {
+  if (now - m_seeds_queried_at < kSeedInterval) {
     return;
   }
-  m_seeds_asked = now;
-  std::map<std::string, Address> silent;
-  std::set<Address> heard;
+  m_seeds_queried_at = now;
+  std::map<std::string, Address> not_live;
+  std::set<Address> live_addresses;
   const std::vector<std::string> live = m_table.Live(now);
   for (const auto& [name, record] : m_table.records()) {
     if (std::binary_search(live.begin(), live.end(), name)) {
-      heard.insert(record.state.address);
+      live_addresses.insert(record.state.address);
     } else if (!record.state.leaving) {
       // Known by its question only, or silent for a while.
-      silent.emplace(name, record.state.address);
+      not_live.emplace(name, record.state.address);
     }
   }
   for (const Address& seed : m_settings.Addresses("peers", "seeds")) {
-    if (!heard.contains(seed) && !(seed == m_table.self().address)) {
-      silent.emplace("seed " + seed.ToString(), seed);
+    if (!live_addresses.contains(seed) && !(seed == m_table.self().address)) {
+      not_live.emplace("seed " + seed.ToString(), seed);
     }
   }
-  for (const auto& [name, address] : silent) {
-    Ask(name, address, now);
+  for (const auto& [name, address] : not_live) {
+    Query(name, address, now);
   }
 }
 
-void GatewayPeers::Ask(const std::string& name,
-                       const Address& address,
-                       TimePoint now) {
+void GatewayPeers::Query(const std::string& name,
+                         const Address& address,
+                         TimePoint now) {
   Neighbour& neighbour = m_neighbours[name];
   if (neighbour.client == nullptr || !(neighbour.address == address)) {
     neighbour.address = address;
@@ -158,42 +159,41 @@
     return;
   }
   neighbour.asked_at = now;
-  ExchangeState state = State();
-  ExchangeRequest ask =
+  ExchangeState state = MakeExchangeState();
+  ExchangeRequest request =
       MakeExchangeRequest(state, name, std::move(neighbour.wanted), now);
   neighbour.wanted.clear();
-  std::string payload = EncodePeerMessage(ask);
+  std::string payload = EncodePeerMessage(request);
   neighbour.client->Ask(
-      std::move(payload), kAskTimeout,
-      [this, name, ask = std::move(ask), now](const std::string* answer) {
-        OnAnswer(name, ask, now, answer);
-      });
+      std::move(payload), kRequestTimeout,
+      [this, name, request = std::move(request),
+       now](const std::string* reply) { OnReply(name, request, now, reply); });
 }
 
-void GatewayPeers::OnAnswer(const std::string& name,
-                            const ExchangeRequest& ask,
-                            TimePoint asked_at,
-                            const std::string* payload) {
+void GatewayPeers::OnReply(const std::string& name,
+                           const ExchangeRequest& request,
+                           TimePoint asked_at,
+                           const std::string* payload) {
   if (payload == nullptr) {
     return;
   }
   const Result<PeerMessage> message = DecodePeerMessage(*payload);
-  const ExchangeReply* answer =
+  const ExchangeReply* reply =
       message ? std::get_if<ExchangeReply>(&*message) : nullptr;
-  if (answer == nullptr) {
+  if (reply == nullptr) {
     Log(LogLevel::kWarning, "peer-refused",
         {{"peer", name}, {"why", "the answer cannot be read"}});
     return;
   }
-  ExchangeState state = State();
-  ExchangeEffect effect = ApplyExchangeReply(state, ask, *answer, asked_at);
+  ExchangeState state = MakeExchangeState();
+  ExchangeEffect effect = ApplyExchangeReply(state, request, *reply, asked_at);
   const auto neighbour = m_neighbours.find(name);
   if (neighbour != m_neighbours.end()) {
     neighbour->second.wanted = std::move(effect.wanted);
     if (!neighbour->second.wanted.empty()) {
       // What is missing is asked for now and not with the next round: a change
       // passes several hosts, and the rounds would add up.
-      Ask(name, neighbour->second.address, MonotonicNow());
+      Query(name, neighbour->second.address, MonotonicNow());
     }
   }
   if (effect.objects_changed) {
@@ -231,7 +231,7 @@
   return m_division.Share(m_division_policy, now);
 }
 
-void GatewayPeers::Confirm(TimePoint now) {
+void GatewayPeers::UpdateConfirmations(TimePoint now) {
   const Division& division = m_division.division();
   const size_t half = (division.nodes.size() + 1) / 2;
   const auto confirmed = ConfirmedAt(m_table, division.nodes, half, now,
@@ -241,12 +241,12 @@
   if (confirmed) {
     m_division.OnConfirmed(*confirmed);
   }
-  const auto most_left = ConfirmedAt(m_table, division.previous_nodes,
-                                     division.previous_nodes.size() / 2 + 1,
-                                     now, [&division](const PeerState& peer) {
-                                       return peer.division >= division.epoch;
-                                     });
-  if (most_left) {
+  const auto majority_left = ConfirmedAt(
+      m_table, division.previous_nodes, division.previous_nodes.size() / 2 + 1,
+      now, [&division](const PeerState& peer) {
+        return peer.division >= division.epoch;
+      });
+  if (majority_left) {
     m_division.OnMajorityLeft(m_division_policy, now);
   }
   const uint64_t own = m_table.self().generation;
@@ -268,48 +268,49 @@
   // While peers confirm each other the store is left alone: a question a host
   // and second would grow with the fleet.
   const bool confirmed = m_config_confirmed_at &&
-                         now - *m_config_confirmed_at <= kProbeAfter &&
+                         now - *m_config_confirmed_at <= kMaxConfirmationAge &&
                          m_division.Share(m_division_policy, now) > 0;
-  if (confirmed || now - m_store_probed < kProbeInterval) {
+  if (confirmed || now - m_store_probed_at < kProbeInterval) {
     return;
   }
-  m_store_probed = now;
-  const auto take = [this](const StoreAnswer& answer,
-                           const std::function<void()>& fresh) {
-    if (answer.status != StoreStatus::kOk) {
+  m_store_probed_at = now;
+  const auto apply = [this](const StoreResponse& response,
+                            const std::function<void()>& on_read) {
+    if (response.status != StoreStatus::kOk) {
       return;
     }
-    if (m_cache.Offer(answer.object)) {
+    if (m_cache.Offer(response.object)) {
       m_events.on_objects();
     }
-    fresh();
+    on_read();
   };
   m_store.Get(std::string(kDivisionKey),
-              [this, take, now](const StoreAnswer& answer) {
-                take(answer, [this, now] { m_division.OnConfirmed(now); });
+              [this, apply, now](const StoreResponse& response) {
+                apply(response, [this, now] { m_division.OnConfirmed(now); });
+              });
+  m_store.Get(std::string(kConfigRootKey),
+              [this, apply, now](const StoreResponse& response) {
+                apply(response, [this, &response, now] {
+                  const Result<ConfigRoot> root =
+                      ParseConfigRoot(response.object.value);
+                  if (root && root->generation <= m_table.self().generation) {
+                    m_config_confirmed_at = now;
+                  }
+                });
               });
-  m_store.Get(std::string(kConfigRootKey), [this, take,
-                                            now](const StoreAnswer& answer) {
-    take(answer, [this, &answer, now] {
-      const Result<ConfigRoot> root = ParseConfigRoot(answer.object.value);
-      if (root && root->generation <= m_table.self().generation) {
-        m_config_confirmed_at = now;
-      }
-    });
-  });
 }
 
-void GatewayPeers::KeepDivision(TimePoint now) {
+void GatewayPeers::UpdateDivision(TimePoint now) {
   std::vector<std::string> live = m_table.Live(now);
   if (live != m_live) {
     m_live = std::move(live);
-    m_live_since = now;
+    m_live_unchanged_since = now;
     m_events.on_membership();
     return;
   }
-  if (now - m_live_since < kDivisionSettle || m_writing_division ||
-      m_live == m_division.division().nodes || m_live.empty() ||
-      !m_division.IsSettled(now) ||
+  if (now - m_live_unchanged_since < kMembershipSettleTime ||
+      m_writing_division || m_live == m_division.division().nodes ||
+      m_live.empty() || !m_division.IsSettled(now) ||
       !m_table.IsChosen(kDivisionKey, "", 1, now)) {
     return;
   }
@@ -325,13 +326,13 @@
   m_writing_division = true;
   m_store.Put(std::string(kDivisionKey), FormatDivision(next),
               object == nullptr ? 0 : object->version,
-              [this](const StoreAnswer& written) {
+              [this](const StoreResponse& written) {
                 // Whatever came of it, the object tells.
                 m_store.Get(std::string(kDivisionKey),
-                            [this](const StoreAnswer& answer) {
+                            [this](const StoreResponse& response) {
                               m_writing_division = false;
-                              if (answer.status == StoreStatus::kOk &&
-                                  m_cache.Offer(answer.object)) {
+                              if (response.status == StoreStatus::kOk &&
+                                  m_cache.Offer(response.object)) {
                                 m_events.on_objects();
                               }
                             });
@@ -342,11 +343,11 @@
               });
 }
 
-void GatewayPeers::AskKeyed(
+void GatewayPeers::SendKeyedRequest(
     const std::string& node,
-    const KeyedRequest& ask,
+    const KeyedRequest& request,
     Duration timeout,
-    std::function<void(const KeyedReply* answer)> done) {
+    std::function<void(const KeyedReply* reply)> done) {
   const auto record = m_table.records().find(node);
   if (record == m_table.records().end()) {
     done(nullptr);
@@ -361,7 +362,7 @@
     done(nullptr);
     return;
   }
-  client->Ask(EncodePeerMessage(ask), timeout,
+  client->Ask(EncodePeerMessage(request), timeout,
               [done = std::move(done)](const std::string* payload) {
                 if (payload == nullptr) {
                   done(nullptr);
--- a/source/gateway_relay.cc
+++ b/source/gateway_relay.cc
@@ -15,7 +15,7 @@
 constexpr size_t kMaxAnswerBytes = 8 * 1024 * 1024;
 
 /// Headers that belong to one connection, or that this path sets itself.
-constexpr auto kDroppedHeaders = std::to_array<std::string_view>(
+constexpr auto kStrippedHeaders = std::to_array<std::string_view>(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "host",
      "authorization", "te", "trailer", "upgrade", "proxy-connection",
      "filbert-request-id", "filbert-outcome", "filbert-code", "filbert-group",
@@ -26,19 +26,19 @@
          strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
-HttpHeaders PassedHeaders(const HttpHeaders& headers) {
-  HttpHeaders passed;
+HttpHeaders ForwardableHeaders(const HttpHeaders& headers) {
+  HttpHeaders forwardable;
   for (const auto& [name, value] : headers) {
-    const bool dropped =
-        std::any_of(kDroppedHeaders.begin(), kDroppedHeaders.end(),
+    const bool stripped =
+        std::any_of(kStrippedHeaders.begin(), kStrippedHeaders.end(),
                     [&name = name](std::string_view entry) {
                       return EqualsIgnoringCase(name, entry);
                     });
-    if (!dropped) {
-      passed.emplace_back(name, value);
+    if (!stripped) {
+      forwardable.emplace_back(name, value);
     }
   }
-  return passed;
+  return forwardable;
 }
 
 }  // namespace
@@ -105,7 +105,7 @@
   m_state.traits.deadline = m_request.deadline;
   m_deadline = m_loop.After(m_request.deadline - now,
                             [this] { Feed(DeadlinePassed{}); });
-  m_exchange->OnCallerGone([this] { Feed(CallerDisconnected{}); });
+  m_exchange->OnCallerDisconnected([this] { Feed(CallerDisconnected{}); });
 }
 
 void Relay::Start() {
@@ -129,7 +129,7 @@
     OnHead(status, headers);
   };
   events.on_bytes = [this](std::string_view bytes) { OnBytes(bytes); };
-  events.on_end = [this](int) { Offer(AttemptComplete{}); };
+  events.on_end = [this](int) { QueueEvent(AttemptComplete{}); };
   events.on_failure = [this](bool bytes_may_have_left) {
     Feed(AttemptFailed{bytes_may_have_left});
   };
@@ -160,7 +160,7 @@
   if (plain) {
     call.method = m_exchange->method();
     call.target = m_request.service_target;
-    call.headers = PassedHeaders(m_exchange->Headers());
+    call.headers = ForwardableHeaders(m_exchange->Headers());
     call.body = m_exchange->body();
   } else {
     call.method = HttpMethod::kPost;
@@ -190,13 +190,13 @@
   }
   if (m_state.ended && !m_finished) {
     // The caller left; there is nobody to answer.
-    Finish({ResultCode::kCallerGone,
+    Finish({ResultCode::kCallerDisconnected,
             m_state.attempts == 0 ? Outcome::kNotRun : Outcome::kUnknown, 0, "",
             ""});
   }
 }
 
-void Relay::Offer(RequestEvent event) {
+void Relay::QueueEvent(RequestEvent event) {
   m_held.push_back({MonotonicNow(), std::move(event)});
   FlushHeld();
 }
@@ -235,16 +235,17 @@
   head.says_not_run = FindHeader(headers, "Filbert-Outcome") == "not-run";
   // Engines name the request they answer. A plain service need not, but where
   // it does, it must be this one.
-  const bool must_name =
+  const bool requires_id =
       !m_state.traits.pass_any_status && !head.says_not_run && status < 300;
-  head.request_id_matches = id == m_request_id || (id.empty() && !must_name);
+  head.request_id_matches = id == m_request_id || (id.empty() && !requires_id);
   Feed(head);
 }
 
 void Relay::OnBytes(std::string_view bytes) {
-  const bool tokens = m_state.traits.shape == AnswerShape::kTokenStream &&
-                      m_answer_status < 300;
-  if (!tokens) {
+  const bool is_token_stream =
+      m_state.traits.shape == AnswerShape::kTokenStream &&
+      m_answer_status < 300;
+  if (!is_token_stream) {
     m_answer_body += bytes;
     if (m_answer_body.size() > kMaxAnswerBytes) {
       Feed(AttemptFailed{true});
@@ -256,7 +257,7 @@
       m_first_token_seen = true;
       m_host.FirstToken(*m_target, MonotonicNow() - m_attempt_began);
     }
-    Offer(AttemptToken{std::move(event)});
+    QueueEvent(AttemptToken{std::move(event)});
     if (m_finished || !m_target) {
       return;
     }
@@ -273,14 +274,14 @@
     const AttemptTarget target = *m_target;
     m_target.reset();
     if (failed) {
-      m_tried.insert(target.id);
+      m_failed_targets.insert(target.id);
     }
     m_host.AttemptEnded(m_id, target, failed, MonotonicNow() - m_attempt_began,
                         m_forwarded);
   }
 }
 
-void Relay::NoteForwarded() {
+void Relay::RecordForwarded() {
   m_forwarded.last = MonotonicNow();
   if (!m_forwarded.first) {
     m_forwarded.first = m_forwarded.last;
@@ -294,7 +295,7 @@
                                   {"Cache-Control", "no-store"},
                                   {"Filbert-Request-Id", m_request_id}});
   }
-  NoteForwarded();
+  RecordForwarded();
   m_exchange->Send(FormatSseEvent(event));
   if (m_exchange->UnsentBytes() > kMaxUnsentBytes) {
     const std::shared_ptr<HttpExchange> exchange = m_exchange;
@@ -304,8 +305,8 @@
 }
 
 void Relay::ForwardAnswer() {
-  NoteForwarded();
-  HttpHeaders headers = PassedHeaders(m_answer_headers);
+  RecordForwarded();
+  HttpHeaders headers = ForwardableHeaders(m_answer_headers);
   headers.emplace_back("Filbert-Request-Id", m_request_id);
   headers.emplace_back("Filbert-Outcome", OutcomeName(Outcome::kRan));
   m_exchange->Reply(m_answer_status, headers, m_answer_body);
@@ -319,12 +320,12 @@
   Finish({code, outcome, ResultCodeInfo(code).http_status, "", ""});
 }
 
-void Relay::Finish(RelayEnd end) {
+void Relay::Finish(RelayResult result) {
   m_finished = true;
   m_deadline.reset();
   m_host.CancelSeek(m_id);
   CloseAttempt(false);
-  m_host.Ended(m_id, std::move(end));
+  m_host.Ended(m_id, std::move(result));
 }
 
 void SendRefusal(HttpExchange& exchange,
--- a/source/gateway_router.cc
+++ b/source/gateway_router.cc
@@ -14,7 +14,7 @@
 constexpr size_t kIdleUpstreamConnections = 64;
 constexpr Duration kQueueInterval = Milliseconds(10);
 /// Evidence that stays away for so many bounds ends the attempt.
-constexpr int kGiveUpBounds = 3;
+constexpr int kLostAfterBounds = 3;
 
 RoutePolicy PolicyFrom(const std::string& name) {
   if (name == "round-robin") {
@@ -62,7 +62,7 @@
                           OnEnd on_end) {
   const TimePoint now = MonotonicNow();
   m_retries.OnRequest(now);
-  const uint64_t id = ++m_last_relay;
+  const uint64_t id = ++m_last_relay_id;
   auto relay = std::make_unique<Relay>(
       m_loop, m_upstream, *this, m_request_policy, id, std::move(request_id),
       std::move(request), std::move(exchange), now);
@@ -84,7 +84,7 @@
   query.prefix = request.prefix;
   query.data_centre = m_data_centre;
   query.deadline = request.deadline;
-  query.excluded = relay.tried();
+  query.excluded = relay.failed_targets();
   return query;
 }
 
@@ -175,14 +175,15 @@
   m_queue_of_relay.erase(name);
 }
 
-void GatewayRouter::RefuseHopeless(FairQueue& queue, TimePoint now) {
-  for (const QueuedRequest& hopeless : queue.TakeUnservable(Duration(0), now)) {
-    m_queue_of_relay.erase(hopeless.id);
-    if (Relay* relay = FindRelay(hopeless.id)) {
-      const bool in_time = now < relay->request().deadline;
-      relay->TargetDenied(
-          in_time ? ResultCode::kNoServingGroup : ResultCode::kDeadlinePassed,
-          Seconds(1));
+void GatewayRouter::RefuseUnservable(FairQueue& queue, TimePoint now) {
+  for (const QueuedRequest& unservable :
+       queue.TakeUnservable(Duration(0), now)) {
+    m_queue_of_relay.erase(unservable.id);
+    if (Relay* relay = FindRelay(unservable.id)) {
+      const bool before_deadline = now < relay->request().deadline;
+      relay->TargetDenied(before_deadline ? ResultCode::kNoServingGroup
+                                          : ResultCode::kDeadlinePassed,
+                          Seconds(1));
     }
   }
 }
@@ -190,7 +191,7 @@
 void GatewayRouter::DrainQueues() {
   const TimePoint now = MonotonicNow();
   for (auto& [name, queue] : m_queues) {
-    RefuseHopeless(queue, now);
+    RefuseUnservable(queue, now);
     while (const QueuedRequest* next = queue.Peek()) {
       const uint64_t id = next->id;
       Relay* relay = FindRelay(id);
@@ -220,7 +221,7 @@
   }
   const std::optional<TimePoint>& whole_at = candidate->target.whole_at;
   const Duration bound = m_route_limits.evidence_bound;
-  if (!whole_at || now - *whole_at > bound * kGiveUpBounds) {
+  if (!whole_at || now - *whole_at > bound * kLostAfterBounds) {
     return TargetCheck::kLost;
   }
   const bool fresh = m_evidence_mode == EvidenceMode::kConfirm
@@ -297,26 +298,26 @@
        {"last_us", forwarded.last.time_since_epoch().count()}});
 }
 
-void GatewayRouter::Ended(uint64_t id, RelayEnd end) {
+void GatewayRouter::Ended(uint64_t id, RelayResult result) {
   const auto entry = m_relays.find(id);
   if (entry == m_relays.end()) {
     return;
   }
   // The relay is on the call stack now, so it is destroyed from the loop.
-  auto ended = std::make_shared<Open>(std::move(entry->second));
+  auto ended = std::make_shared<OpenRelay>(std::move(entry->second));
   m_relays.erase(entry);
   m_loop.Post([ended] {});
   ++m_metrics.Counter(
       "filbertrack_requests_total",
-      "code=\"" + std::to_string(static_cast<int>(end.code)) + "\"");
-  if (end.code != ResultCode::kOk) {
+      "code=\"" + std::to_string(static_cast<int>(result.code)) + "\"");
+  if (result.code != ResultCode::kOk) {
     Log(LogLevel::kInfo, "request-ended",
         {{"request", ended->relay->request_id()},
-         {"code", static_cast<int>(end.code)},
-         {"outcome", OutcomeName(end.outcome)}});
+         {"code", static_cast<int>(result.code)},
+         {"outcome", OutcomeName(result.outcome)}});
   }
   if (ended->on_end) {
-    ended->on_end(end);
+    ended->on_end(result);
   }
 }
 
--- a/source/history_check.cc
+++ b/source/history_check.cc
@@ -10,23 +10,24 @@
 
 using Violations = std::vector<Violation>;
 
-std::string At(HistoryTime at) {
+std::string FormatTime(HistoryTime at) {
   return " at " + std::to_string(at) + " us";
 }
 
 /// Times during which a host was down, sorted.
-struct DownTime {
+struct Downtime {
   HistoryTime from = 0;
   HistoryTime to = INT64_MAX;
 };
 
-std::map<std::string, std::vector<DownTime>> DownTimes(const History& history) {
+std::map<std::string, std::vector<Downtime>> FindDowntimes(
+    const History& history) {
   std::vector<MemberEvent> events = history.members;
   std::stable_sort(events.begin(), events.end(),
                    [](const auto& a, const auto& b) { return a.at < b.at; });
-  std::map<std::string, std::vector<DownTime>> times;
+  std::map<std::string, std::vector<Downtime>> times;
   for (const MemberEvent& event : events) {
-    std::vector<DownTime>& host = times[event.host];
+    std::vector<Downtime>& host = times[event.host];
     if (event.down) {
       host.push_back({event.at, INT64_MAX});
     } else if (!host.empty()) {
@@ -36,29 +37,29 @@
   return times;
 }
 
-void CheckWholeGroups(const History& history,
-                      const HistoryBounds& bounds,
-                      Violations& violations) {
-  const auto down = DownTimes(history);
+void CheckIncompleteGroups(const History& history,
+                           const HistoryBounds& bounds,
+                           Violations& violations) {
+  const auto down = FindDowntimes(history);
   for (const ForwardEvent& forward : history.forwards) {
     for (const std::string& member : forward.members) {
       const auto times = down.find(member);
       if (times == down.end()) {
         continue;
       }
-      for (const DownTime& time : times->second) {
+      for (const Downtime& time : times->second) {
         // A piece may be forwarded until the evidence from before the loss has
         // passed its bound.
-        const HistoryTime from = time.from + bounds.evidence;
+        const HistoryTime from = time.from + bounds.max_evidence_age;
         const bool overlaps =
             forward.last > from && from < time.to && forward.first < time.to;
         if (overlaps) {
-          violations.push_back({Statement::kWholeGroups,
+          violations.push_back({Invariant::kNoIncompleteGroupAnswers,
                                 "request " + forward.request +
                                     " was answered by group " + forward.group +
-                                    " until" + At(forward.last) +
+                                    " until" + FormatTime(forward.last) +
                                     " while member " + member +
-                                    " was down since" + At(time.from)});
+                                    " was down since" + FormatTime(time.from)});
         }
       }
     }
@@ -71,35 +72,36 @@
     for (const std::vector<std::string>& group : event.groups) {
       for (const std::string& host : group) {
         if (!seen.insert(host).second) {
-          violations.push_back({Statement::kOneGroupPerHost,
+          violations.push_back({Invariant::kOneGroupPerHost,
                                 "host " + host + " was in two groups of " +
-                                    event.domain + At(event.at)});
+                                    event.domain + FormatTime(event.at)});
         }
       }
     }
   }
 }
 
-void CheckOwnWholeAnswer(const History& history, Violations& violations) {
+void CheckCorrectAnswers(const History& history, Violations& violations) {
   for (const CallerEvent& caller : history.callers) {
     if (caller.result == CallerResult::kWrong) {
-      violations.push_back({Statement::kOwnWholeAnswer,
-                            "request " + caller.request + " (" + caller.what +
-                                ") got a wrong answer" + At(caller.at)});
+      violations.push_back({Invariant::kCorrectAnswers,
+                            "request " + caller.request + " (" +
+                                caller.work_id + ") got a wrong answer" +
+                                FormatTime(caller.at)});
     }
   }
 }
 
-void CheckNotRunIsTrue(const History& history, Violations& violations) {
-  std::set<std::string> ran;
+void CheckNotRunOutcomes(const History& history, Violations& violations) {
+  std::set<std::string> executed;
   for (const ExecutionEvent& execution : history.executions) {
-    ran.insert(execution.request);
+    executed.insert(execution.request);
   }
   for (const CallerEvent& caller : history.callers) {
     if (caller.result == CallerResult::kNotRun &&
-        ran.contains(caller.request)) {
+        executed.contains(caller.request)) {
       violations.push_back(
-          {Statement::kNotRunIsTrue,
+          {Invariant::kNotRunIsAccurate,
            "request " + caller.request + " was called not-run and had run"});
     }
   }
@@ -108,15 +110,15 @@
 void CheckAtMostOnce(const History& history, Violations& violations) {
   std::map<std::string, int> runs;
   for (const ExecutionEvent& execution : history.executions) {
-    ++runs[execution.what];
+    ++runs[execution.work_id];
   }
   std::set<std::string> reported;
   for (const CallerEvent& caller : history.callers) {
-    if (!caller.idempotent && runs[caller.what] > 1 &&
-        reported.insert(caller.what).second) {
-      violations.push_back({Statement::kAtMostOnce,
-                            "the non-idempotent request " + caller.what +
-                                " ran " + std::to_string(runs[caller.what]) +
+    if (!caller.idempotent && runs[caller.work_id] > 1 &&
+        reported.insert(caller.work_id).second) {
+      violations.push_back({Invariant::kAtMostOnce,
+                            "the non-idempotent request " + caller.work_id +
+                                " ran " + std::to_string(runs[caller.work_id]) +
                                 " times"});
     }
   }
@@ -128,20 +130,21 @@
   for (const LeaveEvent& leave : history.leaves) {
     for (const ExecutionEvent& execution : history.executions) {
       if (execution.server == leave.name &&
-          execution.at > leave.at + bounds.leaving) {
-        violations.push_back({Statement::kLeavingGetsNoWork,
+          execution.at > leave.at + bounds.leaving_grace) {
+        violations.push_back({Invariant::kNoWorkWhenLeaving,
                               "request " + execution.request + " began on " +
-                                  leave.name + At(execution.at) +
-                                  ", which was leaving since" + At(leave.at)});
+                                  leave.name + FormatTime(execution.at) +
+                                  ", which was leaving since" +
+                                  FormatTime(leave.at)});
       }
     }
   }
 }
 
-void CheckPlannedStops(const History& history, Violations& violations) {
+void CheckGracefulStops(const History& history, Violations& violations) {
   for (const StoppedRequestEvent& request : history.stopped) {
-    if (!request.whole) {
-      violations.push_back({Statement::kPlannedStopCutsNothing,
+    if (!request.completed) {
+      violations.push_back({Invariant::kGracefulStop,
                             "request " + request.request +
                                 " was cut off by the planned stop of " +
                                 request.node});
@@ -163,23 +166,25 @@
     for (size_t i = 1; i < events.size(); ++i) {
       if (events[i].generation < events[i - 1].generation) {
         violations.push_back(
-            {Statement::kConfigInForceAndKept,
+            {Invariant::kConfigPropagation,
              "entry host " + node + " went back from generation " +
                  std::to_string(events[i - 1].generation) + " to " +
-                 std::to_string(events[i].generation) + At(events[i].at)});
+                 std::to_string(events[i].generation) +
+                 FormatTime(events[i].at)});
       }
     }
     for (const ConfigEvent& change : accepted) {
       const bool in_time = std::any_of(
           events.begin(), events.end(), [&](const ConfigEvent& event) {
             return event.generation >= change.generation &&
-                   event.at <= change.at + bounds.in_force;
+                   event.at <= change.at + bounds.propagation_timeout;
           });
       if (!in_time) {
-        violations.push_back(
-            {Statement::kConfigInForceAndKept,
-             "generation " + std::to_string(change.generation) + ", accepted" +
-                 At(change.at) + ", was not in force in time on " + node});
+        violations.push_back({Invariant::kConfigPropagation,
+                              "generation " +
+                                  std::to_string(change.generation) +
+                                  ", accepted" + FormatTime(change.at) +
+                                  ", was not in force in time on " + node});
       }
     }
   }
@@ -187,23 +192,23 @@
 
 }  // namespace
 
-std::string_view StatementText(Statement statement) {
-  switch (statement) {
-    case Statement::kWholeGroups:
+std::string_view InvariantText(Invariant invariant) {
+  switch (invariant) {
+    case Invariant::kNoIncompleteGroupAnswers:
       return "no group answers while a member is missing";
-    case Statement::kOneGroupPerHost:
+    case Invariant::kOneGroupPerHost:
       return "no host is in two groups";
-    case Statement::kOwnWholeAnswer:
+    case Invariant::kCorrectAnswers:
       return "every caller gets the whole answer to its own request";
-    case Statement::kNotRunIsTrue:
+    case Invariant::kNotRunIsAccurate:
       return "what is called not-run was not run";
-    case Statement::kAtMostOnce:
+    case Invariant::kAtMostOnce:
       return "a non-idempotent request runs at most once";
-    case Statement::kLeavingGetsNoWork:
+    case Invariant::kNoWorkWhenLeaving:
       return "a leaving backend server gets no new work";
-    case Statement::kPlannedStopCutsNothing:
+    case Invariant::kGracefulStop:
       return "a planned stop cuts off nothing in flight";
-    case Statement::kConfigInForceAndKept:
+    case Invariant::kConfigPropagation:
       return "an accepted configuration is in force everywhere and never "
              "reverts";
   }
@@ -213,13 +218,13 @@
 std::vector<Violation> CheckHistory(const History& history,
                                     const HistoryBounds& bounds) {
   Violations violations;
-  CheckWholeGroups(history, bounds, violations);
+  CheckIncompleteGroups(history, bounds, violations);
   CheckOneGroupPerHost(history, violations);
-  CheckOwnWholeAnswer(history, violations);
-  CheckNotRunIsTrue(history, violations);
+  CheckCorrectAnswers(history, violations);
+  CheckNotRunOutcomes(history, violations);
   CheckAtMostOnce(history, violations);
   CheckLeaving(history, bounds, violations);
-  CheckPlannedStops(history, violations);
+  CheckGracefulStops(history, violations);
   CheckConfig(history, bounds, violations);
   return violations;
 }
--- a/source/history_read.cc
+++ b/source/history_read.cc
@@ -11,9 +11,9 @@
 
 using Json = nlohmann::json;
 
-CallerResult ReadResult(const std::string& text) {
+CallerResult ParseCallerResult(const std::string& text) {
   if (text == "answered") {
-    return CallerResult::kWhole;
+    return CallerResult::kComplete;
   }
   if (text == "not-run") {
     return CallerResult::kNotRun;
@@ -24,7 +24,7 @@
   if (text == "ran") {
     return CallerResult::kRan;
   }
-  return text == "broken" ? CallerResult::kBroken : CallerResult::kUnknown;
+  return text == "broken" ? CallerResult::kTruncated : CallerResult::kUnknown;
 }
 
 /// One kind of line: its event's name, and how it is added. A kind that several
@@ -34,7 +34,7 @@
   void (*add)(const Json& line, History& history);
 };
 
-constexpr auto kKinds = std::to_array<LineKind>({
+constexpr auto kLineKinds = std::to_array<LineKind>({
     {"member",
      [](const Json& line, History& history) {
        history.members.push_back(
@@ -64,7 +64,7 @@
      [](const Json& line, History& history) {
        history.callers.push_back(
            {line.at("request"), line.at("what"), line.at("idempotent"),
-            ReadResult(line.at("result")), line.at("end_us")});
+            ParseCallerResult(line.at("result")), line.at("end_us")});
      }},
     {"leaving",
      [](const Json& line, History& history) {
@@ -103,9 +103,9 @@
       const Json line = Json::parse(text);
       const std::string event = line.value("event", "");
       const auto kind = std::find_if(
-          kKinds.begin(), kKinds.end(),
+          kLineKinds.begin(), kLineKinds.end(),
           [&event](const auto& row) { return row.event == event; });
-      if (kind != kKinds.end()) {
+      if (kind != kLineKinds.end()) {
         kind->add(line, history);
         ++read;
       }
--- a/source/http_buffered_client.cc
+++ b/source/http_buffered_client.cc
@@ -4,36 +4,36 @@
 
 namespace filbertrack {
 
-struct BoundedCalls::Open {
+struct BufferedHttpClient::Open {
   std::unique_ptr<HttpCall> call;
   std::unique_ptr<Timer> timer;
   std::string body;
   Done done;
 };
 
-BoundedCalls::BoundedCalls(EventLoop& loop, size_t max_idle)
+BufferedHttpClient::BufferedHttpClient(EventLoop& loop, size_t max_idle)
     : m_loop(loop), m_http(loop, max_idle) {}
 
-BoundedCalls::~BoundedCalls() = default;
+BufferedHttpClient::~BufferedHttpClient() = default;
 
-BoundedCalls::Handle BoundedCalls::Start(const Address& address,
-                                         HttpCallRequest request,
-                                         Duration timeout,
-                                         Done done) {
+BufferedHttpClient::Handle BufferedHttpClient::Start(const Address& address,
+                                                     HttpCallRequest request,
+                                                     Duration timeout,
+                                                     Done done) {
   request.connect_timeout = std::min(request.connect_timeout, timeout);
   const auto open = std::make_shared<Open>();
   open->done = std::move(done);
   m_open.push_back(open);
   Handle handle = open;
   const auto end = [this, handle](int status) {
-    if (const auto ended = handle.lock()) {
-      Close(ended, status);
+    if (const auto ended_call = handle.lock()) {
+      Close(ended_call, status);
     }
   };
   HttpCallEvents events;
   events.on_bytes = [handle](std::string_view bytes) {
-    if (const auto reading = handle.lock()) {
-      reading->body += bytes;
+    if (const auto open_call = handle.lock()) {
+      open_call->body += bytes;
     }
   };
   events.on_end = end;
@@ -43,7 +43,7 @@
   return handle;
 }
 
-void BoundedCalls::Close(const std::shared_ptr<Open>& open, int status) {
+void BufferedHttpClient::Close(const std::shared_ptr<Open>& open, int status) {
   m_open.remove(open);
   open->timer.reset();
   open->call.reset();
@@ -54,7 +54,7 @@
   }
 }
 
-void BoundedCalls::Cancel(const Handle& handle) {
+void BufferedHttpClient::Cancel(const Handle& handle) {
   if (const auto open = handle.lock()) {
     open->done = nullptr;
     Close(open, 0);
--- a/source/http_client.cc
+++ b/source/http_client.cc
@@ -14,15 +14,15 @@
 /// A kept connection is used for this part of the time that the server states.
 /// Closer to its end, the request could cross the server's close, and nobody
 /// would know whether it ran.
-constexpr double kKeepAliveShare = 0.7;
+constexpr double kKeepAliveFraction = 0.7;
 /// Where the server states no time. Most servers keep connections longer.
-constexpr Duration kUnstatedKeepAlive = Seconds(4);
+constexpr Duration kDefaultKeepAliveTimeout = Seconds(4);
 /// Silence of the server's host after which a connection counts as broken.
-constexpr Duration kServerHostTimeout = Seconds(4);
+constexpr Duration kDeadServerTimeout = Seconds(4);
 constexpr size_t kMaxResponseHeaderBytes = 64 * 1024;
 constexpr int kFirstFinalStatus = 200;
 
-std::optional<Duration> StatedKeepAlive(const HttpHeaders& headers) {
+std::optional<Duration> ParseKeepAliveTimeout(const HttpHeaders& headers) {
   const std::string_view text = FindHeader(headers, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const size_t at = text.find(kName);
@@ -116,11 +116,11 @@
             const std::shared_ptr<ServerConnection>& connection,
             size_t max_kept,
             TimePoint now) {
-    const size_t most = std::min(max_idle, max_kept);
+    const size_t limit = std::min(max_idle, max_kept);
     auto& kept = idle[address];
     kept.push_back(connection);
     while (!kept.empty() &&
-           (kept.size() > most || kept.front()->usable_until <= now)) {
+           (kept.size() > limit || kept.front()->usable_until <= now)) {
       kept.front()->stream->Close();
       kept.pop_front();
     }
@@ -135,7 +135,7 @@
   std::shared_ptr<ServerConnection> connection;
   std::unique_ptr<Timer> timer;
   TimePoint last_byte;
-  uint64_t sent_before = 0;
+  uint64_t sent_at_start = 0;
   size_t max_kept = 0;
   std::string unsent_request;
   HttpHead head;
@@ -151,7 +151,7 @@
     const TimePoint now = MonotonicNow();
     connection = call.fresh_connection ? nullptr : pool->TakeIdle(address, now);
     if (connection != nullptr) {
-      sent_before = connection->stream->sent();
+      sent_at_start = connection->stream->sent();
       connection->call = this;
       SendRequest();
       return;
@@ -164,7 +164,7 @@
     connection = std::make_shared<ServerConnection>();
     connection->call = this;
     connection->stream = TcpStream::Connect(pool->loop, address);
-    connection->stream->SetDeadPeerTimeout(kServerHostTimeout);
+    connection->stream->SetDeadPeerTimeout(kDeadServerTimeout);
     // The connection outlives this call, so its callbacks find the call of the
     // moment through it.
     const std::weak_ptr<ServerConnection> weak = connection;
@@ -191,7 +191,7 @@
     connection->stream->Write(unsent_request);
     unsent_request.clear();
     if (idle_timeout > Duration(0)) {
-      WatchSilence(idle_timeout);
+      StartIdleTimer(idle_timeout);
     }
     const auto on_sent = events.on_sent;
     if (on_sent) {
@@ -199,13 +199,13 @@
     }
   }
 
-  void WatchSilence(Duration after) {
+  void StartIdleTimer(Duration after) {
     timer = pool->loop.After(after, [this] {
-      const Duration silent = MonotonicNow() - last_byte;
-      if (silent >= idle_timeout) {
+      const Duration idle_time = MonotonicNow() - last_byte;
+      if (idle_time >= idle_timeout) {
         Fail();
       } else {
-        WatchSilence(idle_timeout - silent);
+        StartIdleTimer(idle_timeout - idle_time);
       }
     });
   }
@@ -227,7 +227,7 @@
       return;
     }
     const bool may_have_left =
-        unsent_request.empty() && connection->stream->sent() > sent_before;
+        unsent_request.empty() && connection->stream->sent() > sent_at_start;
     Drop();
     const auto on_failure = std::move(events.on_failure);
     events = {};
@@ -242,17 +242,19 @@
     const TimePoint now = MonotonicNow();
     const auto used = connection;
     timer.reset();
-    const bool clean = head.keep_alive && !trailing_bytes &&
-                       used->stream->is_open() && used->stream->unsent() == 0;
+    const bool reusable = head.keep_alive && !trailing_bytes &&
+                          used->stream->is_open() &&
+                          used->stream->unsent() == 0;
     used->call = nullptr;
     connection = nullptr;
-    if (clean) {
+    if (reusable) {
       used->stream->SetReading(true);
-      const auto stated = StatedKeepAlive(head.headers);
+      const auto stated = ParseKeepAliveTimeout(head.headers);
       const Duration usable =
-          stated ? Duration(static_cast<int64_t>(
-                       kKeepAliveShare * static_cast<double>(stated->count())))
-                 : kUnstatedKeepAlive;
+          stated
+              ? Duration(static_cast<int64_t>(
+                    kKeepAliveFraction * static_cast<double>(stated->count())))
+              : kDefaultKeepAliveTimeout;
       used->usable_until = now + usable;
       pool->Keep(address, used, max_kept, now);
     } else {
@@ -275,7 +277,7 @@
 
   /// The call that waits on the connection. Null: none does, and what came
   /// makes the connection useless.
-  static std::shared_ptr<State> CallOf(
+  static std::shared_ptr<State> CurrentCall(
       const std::shared_ptr<ServerConnection>& connection,
       const std::weak_ptr<HttpClient::Pool>& owner,
       const Address& address) {
@@ -296,7 +298,7 @@
                       const Address& address,
                       std::string_view bytes) {
     const auto connection = weak.lock();
-    const std::shared_ptr<State> call = CallOf(connection, owner, address);
+    const std::shared_ptr<State> call = CurrentCall(connection, owner, address);
     if (call == nullptr) {
       return;
     }
@@ -320,7 +322,7 @@
                           const Address& address,
                           StreamEnd end) {
     const auto connection = weak.lock();
-    const std::shared_ptr<State> call = CallOf(connection, owner, address);
+    const std::shared_ptr<State> call = CurrentCall(connection, owner, address);
     if (call == nullptr) {
       return;
     }
--- a/source/http_message.cc
+++ b/source/http_message.cc
@@ -11,12 +11,12 @@
   HttpMessageFault fault = HttpMessageFault::kNone;
   HttpHead head;
   size_t header_bytes = 0;
-  bool value_began = false;
+  bool value_started = false;
   bool at_start = true;
   /// The head of this message has been told.
-  bool head_told = false;
+  bool head_complete = false;
 
-  static State& Of(http_parser* parser) {
+  static State& FromParser(http_parser* parser) {
     return *static_cast<State*>(parser->data);
   }
 
@@ -32,9 +32,9 @@
   }
 
   /// Nonzero stops the parser.
-  int Count(size_t bytes) {
+  int AddHeaderBytes(size_t bytes) {
     header_bytes += bytes;
-    if (!head_told && header_bytes > max_header_bytes) {
+    if (!head_complete && header_bytes > max_header_bytes) {
       fault = HttpMessageFault::kHeaderTooLarge;
       return 1;
     }
@@ -42,46 +42,46 @@
   }
 
   static int OnBegin(http_parser* parser) {
-    State& state = Of(parser);
+    State& state = FromParser(parser);
     state.head = {};
     state.header_bytes = 0;
-    state.value_began = false;
+    state.value_started = false;
     state.at_start = false;
-    state.head_told = false;
+    state.head_complete = false;
     return 0;
   }
 
   static int OnTarget(http_parser* parser, const char* at, size_t size) {
-    State& state = Of(parser);
+    State& state = FromParser(parser);
     state.head.target.append(at, size);
-    return state.Count(size);
+    return state.AddHeaderBytes(size);
   }
 
   static int OnField(http_parser* parser, const char* at, size_t size) {
-    State& state = Of(parser);
-    if (state.head_told) {
+    State& state = FromParser(parser);
+    if (state.head_complete) {
       return 0;  // A trailer; nothing here reads them.
     }
-    if (state.head.headers.empty() || state.value_began) {
+    if (state.head.headers.empty() || state.value_started) {
       state.head.headers.emplace_back();
-      state.value_began = false;
+      state.value_started = false;
     }
     state.head.headers.back().first.append(at, size);
-    return state.Count(size);
+    return state.AddHeaderBytes(size);
   }
 
   static int OnValue(http_parser* parser, const char* at, size_t size) {
-    State& state = Of(parser);
-    if (state.head_told) {
+    State& state = FromParser(parser);
+    if (state.head_complete) {
       return 0;
     }
-    state.value_began = true;
+    state.value_started = true;
     state.head.headers.back().second.append(at, size);
-    return state.Count(size);
+    return state.AddHeaderBytes(size);
   }
 
   static int OnHeadersComplete(http_parser* parser) {
-    State& state = Of(parser);
+    State& state = FromParser(parser);
     state.head.method =
         http_method_str(static_cast<http_method>(parser->method));
     state.head.status = static_cast<int>(parser->status_code);
@@ -90,17 +90,17 @@
     // Nothing here speaks another protocol after an upgrade: the message is
     // read like any other.
     parser->upgrade = 0;
-    state.head_told = true;
+    state.head_complete = true;
     return state.events.on_head(state.head) ? 0 : 1;
   }
 
   static int OnBody(http_parser* parser, const char* at, size_t size) {
-    Of(parser).events.on_body({at, size});
+    FromParser(parser).events.on_body({at, size});
     return 0;
   }
 
   static int OnComplete(http_parser* parser) {
-    State& state = Of(parser);
+    State& state = FromParser(parser);
     state.at_start = true;
     // The next message on the connection waits until this one was dealt with.
     http_parser_pause(parser, 1);
@@ -110,16 +110,16 @@
 
   static const http_parser_settings& Settings() {
     static const http_parser_settings settings = [] {
-      http_parser_settings made;
-      http_parser_settings_init(&made);
-      made.on_message_begin = &OnBegin;
-      made.on_url = &OnTarget;
-      made.on_header_field = &OnField;
-      made.on_header_value = &OnValue;
-      made.on_headers_complete = &OnHeadersComplete;
-      made.on_body = &OnBody;
-      made.on_message_complete = &OnComplete;
-      return made;
+      http_parser_settings callbacks;
+      http_parser_settings_init(&callbacks);
+      callbacks.on_message_begin = &OnBegin;
+      callbacks.on_url = &OnTarget;
+      callbacks.on_header_field = &OnField;
+      callbacks.on_header_value = &OnValue;
+      callbacks.on_headers_complete = &OnHeadersComplete;
+      callbacks.on_body = &OnBody;
+      callbacks.on_message_complete = &OnComplete;
+      return callbacks;
     }();
     return settings;
   }
--- a/source/http_server.cc
+++ b/source/http_server.cc
@@ -40,10 +40,10 @@
 constexpr Duration kSweepInterval = Milliseconds(250);
 /// A caller has this long to read the last answer and close its side. Closing
 /// first with its bytes unread would reset the connection under the answer.
-constexpr Duration kLingerLimit = Seconds(2);
-constexpr int kListenQueue = 1024;
+constexpr Duration kLingerTimeout = Seconds(2);
+constexpr int kListenBacklog = 1024;
 /// Silence of a caller's host after which its connection counts as broken.
-constexpr Duration kCallerHostTimeout = Seconds(10);
+constexpr Duration kDeadCallerTimeout = Seconds(10);
 
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
@@ -97,13 +97,13 @@
                  {[this](const HttpHead& head) { return OnHead(head); },
                   [this](std::string_view bytes) { OnBody(bytes); },
                   [this] { m_complete = true; }}),
-        m_quiet_since(MonotonicNow()) {}
+        m_idle_since(MonotonicNow()) {}
 
   void Start() {
-    m_stream->SetDeadPeerTimeout(kCallerHostTimeout);
+    m_stream->SetDeadPeerTimeout(kDeadCallerTimeout);
     m_stream->Start({{},
                      [this](std::string_view bytes) { OnBytes(bytes); },
-                     [this](StreamEnd) { Gone(); },
+                     [this](StreamEnd) { OnDisconnected(); },
                      {}});
   }
 
@@ -116,7 +116,7 @@
   /// The present answer is written.
   void AnswerEnded(bool keep_open) {
     m_exchange.reset();
-    m_quiet_since = MonotonicNow();
+    m_idle_since = MonotonicNow();
     if (!keep_open) {
       Linger();
       return;
@@ -130,7 +130,7 @@
   /// Closes after what was written has left.
   void Linger() {
     m_lingering = true;
-    m_quiet_since = MonotonicNow();
+    m_idle_since = MonotonicNow();
     m_input.clear();
     m_stream->SetReading(true);
     m_stream->ShutDown();
@@ -141,36 +141,36 @@
 
   /// How long the caller has taken nothing of what waits for it.
   Duration UnreadFor(TimePoint now) const {
-    return m_stream->unsent() == 0 || m_stream->sent() != m_taken
+    return m_stream->unsent() == 0 || m_stream->sent() != m_last_sent
                ? Duration(0)
-               : now - m_taken_at;
+               : now - m_last_progress;
   }
 
   size_t request_bytes() const {
     const auto body = [](const std::shared_ptr<HttpExchange>& exchange) {
       return exchange == nullptr ? 0 : exchange->body().size();
     };
-    return m_input.size() + body(m_reading) + body(m_exchange);
+    return m_input.size() + body(m_incoming) + body(m_exchange);
   }
 
-  void LetGo() {
+  void DropSlowReader() {
     ++m_server->unread_dropped;
-    Gone();
+    OnDisconnected();
   }
 
   void CheckTimeouts(TimePoint now) {
-    if (m_stream->unsent() == 0 || m_stream->sent() != m_taken) {
-      m_taken = m_stream->sent();
-      m_taken_at = now;
+    if (m_stream->unsent() == 0 || m_stream->sent() != m_last_sent) {
+      m_last_sent = m_stream->sent();
+      m_last_progress = now;
     }
     if (UnreadFor(now) > m_server->limits.unread_timeout) {
-      LetGo();
+      DropSlowReader();
       return;
     }
-    const Duration quiet = now - m_quiet_since;
+    const Duration idle = now - m_idle_since;
     if (m_lingering) {
-      if (quiet > kLingerLimit) {
-        Gone();
+      if (idle > kLingerTimeout) {
+        OnDisconnected();
       }
       return;
     }
@@ -178,13 +178,13 @@
       return;
     }
     if (!m_parser.at_start()) {
-      if (quiet > m_server->limits.header_timeout) {
+      if (idle > m_server->limits.header_timeout) {
         Refuse(kRequestTimeout);
       }
       return;
     }
-    if (quiet > m_server->limits.idle_timeout) {
-      Gone();
+    if (idle > m_server->limits.idle_timeout) {
+      OnDisconnected();
     }
   }
 
@@ -224,7 +224,7 @@
   void Push(std::string_view bytes) {
     while (!bytes.empty() && m_exchange == nullptr && !m_lingering) {
       if (m_parser.at_start()) {
-        m_quiet_since = MonotonicNow();
+        m_idle_since = MonotonicNow();
       }
       const size_t taken = m_parser.Push(bytes);
       bytes.remove_prefix(std::min(taken, bytes.size()));
@@ -245,7 +245,7 @@
   }
 
   bool OnHead(const HttpHead& head) {
-    m_reading = std::make_shared<HttpExchange>(weak_from_this(), head);
+    m_incoming = std::make_shared<HttpExchange>(weak_from_this(), head);
     if (EqualHeaderNames(FindHeader(head.headers, "Expect"), "100-continue")) {
       m_stream->Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
@@ -253,24 +253,24 @@
   }
 
   void OnBody(std::string_view bytes) {
-    if (m_reading == nullptr) {
+    if (m_incoming == nullptr) {
       return;
     }
-    if (m_reading->m_body.size() + bytes.size() >
+    if (m_incoming->m_body.size() + bytes.size() >
         m_server->limits.max_body_bytes) {
-      m_reading.reset();
+      m_incoming.reset();
       Refuse(kBodyTooLarge);
       return;
     }
-    m_reading->m_body.append(bytes);
+    m_incoming->m_body.append(bytes);
   }
 
   void Dispatch() {
-    if (m_reading == nullptr) {
+    if (m_incoming == nullptr) {
       return;
     }
-    m_exchange = std::move(m_reading);
-    m_reading = nullptr;
+    m_exchange = std::move(m_incoming);
+    m_incoming = nullptr;
     m_server->handler(m_exchange);
   }
 
@@ -283,14 +283,14 @@
     Linger();
   }
 
-  void Gone() {
+  void OnDisconnected() {
     const auto keep = shared_from_this();
     m_stream->Close();
     m_server->connections.erase(keep);
     if (m_exchange != nullptr) {
       const auto exchange = std::move(m_exchange);
       m_exchange = nullptr;
-      exchange->CallerGone();
+      exchange->NotifyCallerDisconnected();
     }
   }
 
@@ -298,16 +298,16 @@
   std::shared_ptr<TcpStream> m_stream;
   HttpMessageParser m_parser;
   /// The request whose bytes are being read, and the one being answered.
-  std::shared_ptr<HttpExchange> m_reading;
+  std::shared_ptr<HttpExchange> m_incoming;
   std::shared_ptr<HttpExchange> m_exchange;
   std::string m_input;
   bool m_complete = false;
   bool m_lingering = false;
   /// Bytes that the caller had taken when that last changed, and when.
-  uint64_t m_taken = 0;
-  TimePoint m_taken_at = MonotonicNow();
+  uint64_t m_last_sent = 0;
+  TimePoint m_last_progress = MonotonicNow();
   /// Since when the connection waits for the caller.
-  TimePoint m_quiet_since;
+  TimePoint m_idle_since;
 };
 
 HttpExchange::HttpExchange(std::weak_ptr<HttpConnection> connection,
@@ -381,7 +381,7 @@
   }
   connection->Write(text);
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(keep);
 }
 
@@ -420,7 +420,7 @@
     connection->Write("0\r\n\r\n");
   }
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(m_keep_alive);
 }
 
@@ -430,7 +430,7 @@
     return;
   }
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(false);
 }
 
@@ -439,14 +439,14 @@
   return connection == nullptr ? 0 : connection->unsent();
 }
 
-void HttpExchange::OnCallerGone(std::function<void()> action) {
-  m_on_gone = std::move(action);
+void HttpExchange::OnCallerDisconnected(std::function<void()> action) {
+  m_on_disconnected = std::move(action);
 }
 
-void HttpExchange::CallerGone() {
+void HttpExchange::NotifyCallerDisconnected() {
   m_ended = true;
-  const auto action = std::move(m_on_gone);
-  m_on_gone = nullptr;
+  const auto action = std::move(m_on_disconnected);
+  m_on_disconnected = nullptr;
   if (action) {
     action();
   }
@@ -476,7 +476,7 @@
     listener = evconnlistener_new_bind(
         m_loop.base(), &HttpServer::OnAccept, this,
         LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
-        kListenQueue, reinterpret_cast<const sockaddr*>(&at), sizeof(at));
+        kListenBacklog, reinterpret_cast<const sockaddr*>(&at), sizeof(at));
   }
   if (listener == nullptr) {
     return Fail(ResultCode::kSettingsInvalid,
@@ -534,7 +534,7 @@
 void HttpServer::Drop(uint64_t connection) {
   for (const auto& open : m_shared->connections) {
     if (open->id() == connection) {
-      open->LetGo();
+      open->DropSlowReader();
       return;
     }
   }
--- a/source/load_plan.cc
+++ b/source/load_plan.cc
@@ -11,8 +11,8 @@
 constexpr size_t kHashDigitsInToken = 4;
 
 LoadKind DrawKind(const LoadPolicy& policy, std::mt19937_64& random) {
-  std::uniform_real_distribution<double> part(0, 1);
-  const double drawn = part(random);
+  std::uniform_real_distribution<double> uniform(0, 1);
+  const double drawn = uniform(random);
   if (drawn < policy.stream_share) {
     return LoadKind::kStream;
   }
@@ -22,7 +22,7 @@
   if (drawn < policy.stream_share + policy.plain_share + policy.keyed_share) {
     return LoadKind::kKeyed;
   }
-  return LoadKind::kWhole;
+  return LoadKind::kNonStreamed;
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
   switch (kind) {
     case LoadKind::kStream:
       return "stream";
-    case LoadKind::kWhole:
+    case LoadKind::kNonStreamed:
       return "whole";
     case LoadKind::kPlain:
       return "plain";
@@ -63,7 +63,7 @@
   while (seconds < ToSeconds(policy.duration)) {
     PlannedRequest request;
     request.number = plan.size();
-    request.at = FromSeconds(seconds);
+    request.offset = FromSeconds(seconds);
     request.kind = DrawKind(policy, random);
     request.workspace = workspace(random);
     request.prefix = prefix(random);
--- a/source/load_runner.cc
+++ b/source/load_runner.cc
@@ -15,10 +15,10 @@
 using Json = nlohmann::json;
 
 constexpr size_t kIdleConnections = 512;
-constexpr Duration kTick = Milliseconds(1);
+constexpr Duration kSendInterval = Milliseconds(1);
 constexpr int kStatusOk = 200;
 
-std::string Find(const HttpHeaders& headers, const char* name) {
+std::string FindHeader(const HttpHeaders& headers, const char* name) {
   for (const auto& [key, value] : headers) {
     if (strcasecmp(key.c_str(), name) == 0) {
       return value;
@@ -50,7 +50,7 @@
   size_t next_host = 0;
 };
 
-struct LoadRunner::Open {
+struct LoadRunner::OpenRequest {
   uint64_t id = 0;
   size_t side = 0;
   PlannedRequest planned;
@@ -58,13 +58,13 @@
   TimePoint due;
   std::string messages;
   /// The request as the backend server names it, for all its tries.
-  std::string what;
+  std::string work_id;
   bool idempotent = true;
   std::string request_id;
   std::string outcome;
   int code = 0;
   int status = 0;
-  SseParser splitter;
+  SseParser sse_parser;
   std::string body;
   uint64_t next_token = 0;
   TimePoint last_token;
@@ -89,56 +89,59 @@
 
 void LoadRunner::Run() {
   m_start = MonotonicNow();
-  m_timer = m_loop.Every(kTick, [this] { SendDue(); });
+  m_timer = m_loop.Every(kSendInterval, [this] { SendDue(); });
   m_loop.Run();
 }
 
 void LoadRunner::SendDue() {
   const Duration elapsed = MonotonicNow() - m_start;
-  while (m_next < m_plan.size() && m_plan[m_next].at <= elapsed) {
+  while (m_next_planned < m_plan.size() &&
+         m_plan[m_next_planned].offset <= elapsed) {
     for (size_t side = 0; side < m_sides.size(); ++side) {
-      Send(side, m_plan[m_next], 0);
+      Send(side, m_plan[m_next_planned], 0);
     }
-    ++m_next;
+    ++m_next_planned;
   }
-  if (m_next == m_plan.size() && m_open.empty()) {
+  if (m_next_planned == m_plan.size() && m_open_requests.empty()) {
     m_loop.Stop();
   }
 }
 
 void LoadRunner::Send(size_t side, const PlannedRequest& planned, int attempt) {
-  Side& to = *m_sides[side];
+  Side& target_side = *m_sides[side];
   const uint64_t id = ++m_last_id;
-  auto created = std::make_unique<Open>();
-  Open& open = *created;
-  open.id = id;
-  open.side = side;
-  open.planned = planned;
-  open.attempt = attempt;
-  open.due = m_start + planned.at;
-  open.messages = Messages(planned, m_run.policy.seed).dump();
-  const bool model =
-      planned.kind == LoadKind::kStream || planned.kind == LoadKind::kWhole;
-  open.what = model ? Sha256Hex(open.messages) : PlainPath(planned);
-  open.idempotent = model || (planned.kind == LoadKind::kPlain &&
-                              m_run.plain_idempotent == "true");
-  ++to.summary.sent;
-  const auto& hosts = to.targets.entry_hosts;
-  const Address& host = hosts[to.next_host++ % hosts.size()];
+  auto created = std::make_unique<OpenRequest>();
+  OpenRequest& request = *created;
+  request.id = id;
+  request.side = side;
+  request.planned = planned;
+  request.attempt = attempt;
+  request.due = m_start + planned.offset;
+  request.messages = Messages(planned, m_run.policy.seed).dump();
+  const bool is_model_request = planned.kind == LoadKind::kStream ||
+                                planned.kind == LoadKind::kNonStreamed;
+  request.work_id =
+      is_model_request ? Sha256Hex(request.messages) : PlainPath(planned);
+  request.idempotent = is_model_request || (planned.kind == LoadKind::kPlain &&
+                                            m_run.plain_idempotent == "true");
+  ++target_side.summary.sent;
+  const auto& hosts = target_side.targets.entry_hosts;
+  const Address& host = hosts[target_side.next_host++ % hosts.size()];
   HttpCallEvents events;
-  events.on_head = [&open](int status, const HttpHeaders& headers) {
-    open.status = status;
-    open.request_id = Find(headers, "Filbert-Request-Id");
-    open.outcome = Find(headers, "Filbert-Outcome");
-    open.code = std::atoi(Find(headers, "Filbert-Code").c_str());
+  events.on_head = [&request](int status, const HttpHeaders& headers) {
+    request.status = status;
+    request.request_id = FindHeader(headers, "Filbert-Request-Id");
+    request.outcome = FindHeader(headers, "Filbert-Outcome");
+    request.code = std::atoi(FindHeader(headers, "Filbert-Code").c_str());
   };
-  events.on_bytes = [this, &open](std::string_view bytes) {
-    OnBytes(open, bytes);
+  events.on_bytes = [this, &request](std::string_view bytes) {
+    OnBytes(request, bytes);
   };
-  events.on_end = [this, &open](int status) { OnEnd(open, status); };
-  events.on_failure = [this, &open](bool) { OnEnd(open, 0); };
-  open.call = m_http.Start(host, MakeCall(planned, open), std::move(events));
-  m_open.emplace(id, std::move(created));
+  events.on_end = [this, &request](int status) { OnEnd(request, status); };
+  events.on_failure = [this, &request](bool) { OnEnd(request, 0); };
+  request.call =
+      m_http.Start(host, MakeCall(planned, request), std::move(events));
+  m_open_requests.emplace(id, std::move(created));
 }
 
 std::string LoadRunner::PlainPath(const PlannedRequest& planned) const {
@@ -147,17 +150,17 @@
 }
 
 HttpCallRequest LoadRunner::MakeCall(const PlannedRequest& planned,
-                                     const Open& open) const {
+                                     const OpenRequest& request) const {
   HttpCallRequest call;
   call.method = HttpMethod::kPost;
   call.headers = {
       {"Authorization",
        "Bearer " + m_run.policy.workspaces[planned.workspace].key},
       {"Filbert-Deadline-Ms", std::to_string(ToMilliseconds(m_run.deadline))}};
-  const bool plain =
+  const bool is_plain =
       planned.kind == LoadKind::kPlain || planned.kind == LoadKind::kKeyed;
-  if (plain) {
-    const bool direct = m_sides[open.side]->targets.direct;
+  if (is_plain) {
+    const bool direct = m_sides[request.side]->targets.direct;
     call.target =
         (direct ? "" : "/services/" + m_run.plain_service) + PlainPath(planned);
     call.body = "{}";
@@ -174,119 +177,123 @@
   call.body = Json({{"model", m_run.model},
                     {"stream", planned.kind == LoadKind::kStream},
                     {"max_tokens", planned.tokens},
-                    {"messages", Json::parse(open.messages)}})
+                    {"messages", Json::parse(request.messages)}})
                   .dump();
   return call;
 }
 
-void LoadRunner::OnBytes(Open& open, std::string_view bytes) {
-  if (open.planned.kind != LoadKind::kStream || open.status != kStatusOk) {
-    open.body += bytes;
+void LoadRunner::OnBytes(OpenRequest& request, std::string_view bytes) {
+  if (request.planned.kind != LoadKind::kStream ||
+      request.status != kStatusOk) {
+    request.body += bytes;
     return;
   }
-  for (const SseEvent& event : open.splitter.Push(bytes)) {
+  for (const SseEvent& event : request.sse_parser.Push(bytes)) {
     if (event.done) {
-      open.done_seen = true;
+      request.done_seen = true;
     } else if (event.data.find("\"error\"") == std::string::npos) {
-      OnToken(open, event);
+      OnToken(request, event);
     }
   }
 }
 
-void LoadRunner::OnToken(Open& open, const SseEvent& event) {
-  LoadSummary& summary = m_sides[open.side]->summary;
+void LoadRunner::OnToken(OpenRequest& request, const SseEvent& event) {
+  LoadSummary& summary = m_sides[request.side]->summary;
   const TimePoint now = MonotonicNow();
-  const std::string expected = ExpectedToken(open.messages, open.next_token);
+  const std::string expected =
+      ExpectedToken(request.messages, request.next_token);
   if (event.data.find("\"" + expected + "\"") == std::string::npos) {
-    open.wrong = true;
+    request.wrong = true;
   }
-  if (open.next_token == 0) {
-    summary.first_token.Add(now - open.due);
+  if (request.next_token == 0) {
+    summary.first_token_latency.Add(now - request.due);
   } else {
-    summary.max_gap = std::max(summary.max_gap, now - open.last_token);
+    summary.max_gap = std::max(summary.max_gap, now - request.last_token);
   }
-  open.last_token = now;
-  ++open.next_token;
+  request.last_token = now;
+  ++request.next_token;
   ++summary.tokens;
 }
 
-void LoadRunner::CheckWhole(Open& open) {
-  if (open.planned.kind == LoadKind::kStream) {
-    open.wrong = open.wrong || !open.done_seen ||
-                 open.next_token != static_cast<uint64_t>(open.planned.tokens);
+void LoadRunner::VerifyAnswer(OpenRequest& request) {
+  if (request.planned.kind == LoadKind::kStream) {
+    request.wrong =
+        request.wrong || !request.done_seen ||
+        request.next_token != static_cast<uint64_t>(request.planned.tokens);
     return;
   }
-  if (open.planned.kind != LoadKind::kWhole) {
-    open.wrong = open.body.find("\"" + open.what + "\"") == std::string::npos;
+  if (request.planned.kind != LoadKind::kNonStreamed) {
+    request.wrong =
+        request.body.find("\"" + request.work_id + "\"") == std::string::npos;
     return;
   }
   std::string text;
-  for (int i = 0; i < open.planned.tokens; ++i) {
-    text += ExpectedToken(open.messages, static_cast<uint64_t>(i));
+  for (int i = 0; i < request.planned.tokens; ++i) {
+    text += ExpectedToken(request.messages, static_cast<uint64_t>(i));
   }
-  open.wrong = open.body.find(text) == std::string::npos;
+  request.wrong = request.body.find(text) == std::string::npos;
 }
 
-void LoadRunner::OnEnd(Open& open, int status) {
-  LoadSummary& summary = m_sides[open.side]->summary;
+void LoadRunner::OnEnd(OpenRequest& request, int status) {
+  LoadSummary& summary = m_sides[request.side]->summary;
   std::string_view result;
   if (status == kStatusOk) {
-    CheckWhole(open);
-    result = open.wrong ? "wrong" : "answered";
-    summary.wrong += open.wrong ? 1 : 0;
-    if (!open.wrong) {
+    VerifyAnswer(request);
+    result = request.wrong ? "wrong" : "answered";
+    summary.wrong += request.wrong ? 1 : 0;
+    if (!request.wrong) {
       ++summary.answered;
       ++summary.answered_of_workspace
-            [m_run.policy.workspaces[open.planned.workspace].key];
-      summary.whole.Add(MonotonicNow() - open.due);
+            [m_run.policy.workspaces[request.planned.workspace].key];
+      summary.total_latency.Add(MonotonicNow() - request.due);
     }
-  } else if (status == 0 && open.status == kStatusOk) {
+  } else if (status == 0 && request.status == kStatusOk) {
     // The connection closed inside the answer: visibly unfinished, unless the
     // closing event had come.
-    result = open.done_seen || open.wrong ? "wrong" : "broken";
-    ++(open.done_seen || open.wrong ? summary.wrong : summary.broken);
+    result = request.done_seen || request.wrong ? "wrong" : "broken";
+    ++(request.done_seen || request.wrong ? summary.wrong : summary.truncated);
   } else if (status == 0) {
     result = "no-answer";
     ++summary.no_answer;
-  } else if (open.outcome == "not-run") {
+  } else if (request.outcome == "not-run") {
     result = "not-run";
     ++summary.refused_not_run;
-  } else if (open.outcome == "ran") {
+  } else if (request.outcome == "ran") {
     result = "ran";
     ++summary.refused_ran;
   } else {
     result = "unknown";
     ++summary.refused_unknown;
   }
-  if (open.code != 0) {
-    ++summary.codes[open.code];
+  if (request.code != 0) {
+    ++summary.codes[request.code];
   }
-  Finish(open, result);
+  Finish(request, result);
 }
 
-void LoadRunner::Finish(Open& open, std::string_view result) {
-  const PlannedRequest planned = open.planned;
-  const size_t side = open.side;
-  const int attempt = open.attempt;
+void LoadRunner::Finish(OpenRequest& request, std::string_view result) {
+  const PlannedRequest planned = request.planned;
+  const size_t side = request.side;
+  const int attempt = request.attempt;
   if (m_lines != nullptr) {
     *m_lines << Json({{"event", "result"},
                       {"side", m_sides[side]->targets.name},
                       {"number", planned.number},
                       {"kind", LoadKindName(planned.kind)},
                       {"attempt", attempt},
-                      {"request", open.request_id},
+                      {"request", request.request_id},
                       {"result", result},
-                      {"what", open.what},
-                      {"idempotent", open.idempotent},
-                      {"code", open.code},
-                      {"tokens", open.next_token},
-                      {"due_us", planned.at.count()},
+                      {"what", request.work_id},
+                      {"idempotent", request.idempotent},
+                      {"code", request.code},
+                      {"tokens", request.next_token},
+                      {"due_us", planned.offset.count()},
                       {"end_us", MonotonicNow().time_since_epoch().count()}})
                     .dump()
              << "\n";
   }
-  m_open.erase(open.id);
-  if (planned.kind == LoadKind::kKeyed && attempt + 1 < m_run.keyed_tries) {
+  m_open_requests.erase(request.id);
+  if (planned.kind == LoadKind::kKeyed && attempt + 1 < m_run.keyed_attempts) {
     Send(side, planned, attempt + 1);
   }
 }
@@ -311,14 +318,14 @@
                   {"not_run", summary.refused_not_run},
                   {"unknown", summary.refused_unknown},
                   {"ran", summary.refused_ran},
-                  {"broken", summary.broken},
+                  {"broken", summary.truncated},
                   {"no_answer", summary.no_answer},
                   {"wrong", summary.wrong},
                   {"codes", codes},
                   {"workspaces", summary.answered_of_workspace},
                   {"longest_gap_ms", ToSeconds(summary.max_gap) * 1e3},
-                  {"first_token", Quantiles(summary.first_token)},
-                  {"whole", Quantiles(summary.whole)}})
+                  {"first_token", Quantiles(summary.first_token_latency)},
+                  {"whole", Quantiles(summary.total_latency)}})
                 .dump() +
             "\n";
   }
--- a/source/log.cc
+++ b/source/log.cc
@@ -25,12 +25,12 @@
 BOOST_LOG_ATTRIBUTE_KEYWORD(severity, "Severity", LogLevel)
 
 /// Bytes of lines that wait for standard output: some seconds of a busy host.
-constexpr size_t kMaxGatheredBytes = 512 * 1024;
+constexpr size_t kMaxBufferedBytes = 512 * 1024;
 
 /// Hands what Boost.Log formats to the buffer, a line at a time.
-class GatheredLines : public std::stringbuf {
+class LogBufferStream : public std::stringbuf {
  public:
-  explicit GatheredLines(LogBuffer& buffer) : m_buffer(buffer) {}
+  explicit LogBufferStream(LogBuffer& buffer) : m_buffer(buffer) {}
 
  protected:
   int sync() override {
@@ -50,14 +50,14 @@
 struct LogState {
   std::string program;
   std::string node;
-  LogLevel lowest = LogLevel::kInfo;
+  LogLevel min_level = LogLevel::kInfo;
   logging::sources::severity_logger<LogLevel> logger;
-  LogBuffer buffer{STDOUT_FILENO, kMaxGatheredBytes};
-  GatheredLines lines{buffer};
-  std::ostream gathered{&lines};
-  bool gathers = false;
-  std::function<void()> schedule;
-  bool scheduled = false;
+  LogBuffer buffer{STDOUT_FILENO, kMaxBufferedBytes};
+  LogBufferStream lines{buffer};
+  std::ostream buffered_output{&lines};
+  bool buffered = false;
+  std::function<void()> schedule_flush;
+  bool flush_scheduled = false;
   LogLimiter limiter{LogRate{}};
   uint64_t dropped = 0;
 };
@@ -99,27 +99,27 @@
              LogTarget target) {
   State().program = program;
   State().node = node;
-  State().gathers = target == LogTarget::kStandardOutput;
+  State().buffered = target == LogTarget::kStandardOutput;
   logging::add_console_log(
-      State().gathers ? State().gathered : std::clog,
+      State().buffered ? State().buffered_output : std::clog,
       logging::keywords::format = logging::expressions::stream
                                   << logging::expressions::smessage,
       logging::keywords::auto_flush = true);
-  State().lowest = ParseLevel(lowest_level);
-  logging::core::get()->set_filter(severity >= State().lowest);
+  State().min_level = ParseLevel(lowest_level);
+  logging::core::get()->set_filter(severity >= State().min_level);
 }
 
 void FlushLog() {
-  State().scheduled = false;
+  State().flush_scheduled = false;
   State().buffer.Flush();
-  if (!State().buffer.empty() && State().schedule) {
-    State().scheduled = true;
-    State().schedule();
+  if (!State().buffer.empty() && State().schedule_flush) {
+    State().flush_scheduled = true;
+    State().schedule_flush();
   }
 }
 
-void OnLogGathers(std::function<void()> schedule) {
-  State().schedule = std::move(schedule);
+void SetLogFlushScheduler(std::function<void()> schedule_flush) {
+  State().schedule_flush = std::move(schedule_flush);
 }
 
 uint64_t DroppedLogLines() {
@@ -127,7 +127,7 @@
 }
 
 bool IsLogged(LogLevel level) {
-  return level >= State().lowest;
+  return level >= State().min_level;
 }
 
 namespace {
@@ -157,18 +157,18 @@
 
 void Log(LogLevel level, std::string_view event, const nlohmann::json& fields) {
   LogState& state = State();
-  if (state.gathers && !state.limiter.Allow(event, MonotonicNow())) {
+  if (state.buffered && !state.limiter.Allow(event, MonotonicNow())) {
     return;
   }
-  const uint64_t dropped = state.gathers ? state.limiter.TakeDropped() : 0;
+  const uint64_t dropped = state.buffered ? state.limiter.TakeDropped() : 0;
   if (dropped > 0) {
     state.dropped += dropped;
     WriteLine(LogLevel::kWarning, "lines-dropped", {{"count", dropped}});
   }
   WriteLine(level, event, fields);
-  if (state.gathers && !state.scheduled && state.schedule) {
-    state.scheduled = true;
-    state.schedule();
+  if (state.buffered && !state.flush_scheduled && state.schedule_flush) {
+    state.flush_scheduled = true;
+    state.schedule_flush();
   }
 }
 
--- a/source/log_buffer.cc
+++ b/source/log_buffer.cc
@@ -19,8 +19,8 @@
 }
 
 void LogBuffer::Flush() {
-  size_t done = 0;
-  while (done < m_text.size()) {
+  size_t flushed = 0;
+  while (flushed < m_text.size()) {
     pollfd ready{m_fd, POLLOUT, 0};
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
       // POLLERR alone: nobody reads any more.
@@ -28,15 +28,15 @@
       break;
     }
     // A pipe that is ready takes this much whole; more could block.
-    const size_t size = std::min<size_t>(m_text.size() - done, PIPE_BUF);
-    const ssize_t written = write(m_fd, m_text.data() + done, size);
+    const size_t size = std::min<size_t>(m_text.size() - flushed, PIPE_BUF);
+    const ssize_t written = write(m_fd, m_text.data() + flushed, size);
     if (written <= 0) {
       m_closed = written < 0;
       break;
     }
-    done += static_cast<size_t>(written);
+    flushed += static_cast<size_t>(written);
   }
-  m_text.erase(0, done);
+  m_text.erase(0, flushed);
   if (m_closed) {
     m_text.clear();
   }
--- a/source/main_filbertctl.cc
+++ b/source/main_filbertctl.cc
@@ -29,15 +29,15 @@
   bool wait = false;
   int64_t wait_seconds = 10;
   uint64_t generation = 0;
-  size_t most = 20;
+  size_t max_rows = 20;
   bool explain = false;
   std::string request;
   std::vector<std::string> logs;
-  AccountPolicy account;
+  LossReportPolicy account;
   double window_seconds = 2;
 };
 
-int Report(const Error& error) {
+int ReportError(const Error& error) {
   std::fprintf(stderr, "filbertctl: %s\n", error.message.c_str());
   return static_cast<int>(error.code);
 }
@@ -82,12 +82,12 @@
              const CommandLine& line) {
   const Result<Json> change = ReadChange(line.file);
   if (!change) {
-    return Report(change.error());
+    return ReportError(change.error());
   }
   if (line.dry_run) {
     const Result<ChangeResult> preview = client.Preview(*change);
     if (!preview) {
-      return Report(preview.error());
+      return ReportError(preview.error());
     }
     PrintChange(*preview, "would become", line);
     return 0;
@@ -95,14 +95,14 @@
   const Result<ChangeResult> applied = client.Apply(
       {*change, settings.Text("operator", "name"), line.reason, WallTimeMs()});
   if (!applied) {
-    return Report(applied.error());
+    return ReportError(applied.error());
   }
   PrintChange(*applied, "accepted", line);
   if (line.wait && !applied->changed.empty()) {
     const Result<bool> in_force =
         client.WaitInForce(applied->generation, Seconds(line.wait_seconds));
     if (!in_force) {
-      return Report(in_force.error());
+      return ReportError(in_force.error());
     }
     if (!line.json) {
       std::cout << "in force on every entry host\n";
@@ -114,7 +114,7 @@
 int RunGet(OperatorClient& client) {
   const Result<StoredConfig> config = client.ReadConfig();
   if (!config) {
-    return Report(config.error());
+    return ReportError(config.error());
   }
   std::cout << config->set.resources.dump(2) << "\n";
   return 0;
@@ -123,13 +123,14 @@
 int RunWait(OperatorClient& client, const CommandLine& line) {
   const Result<bool> in_force =
       client.WaitInForce(line.generation, Seconds(line.wait_seconds));
-  return in_force ? 0 : Report(in_force.error());
+  return in_force ? 0 : ReportError(in_force.error());
 }
 
 int RunHistory(OperatorClient& client, const CommandLine& line) {
-  const Result<std::vector<ChangeRecord>> records = client.History(line.most);
+  const Result<std::vector<ChangeRecord>> records =
+      client.History(line.max_rows);
   if (!records) {
-    return Report(records.error());
+    return ReportError(records.error());
   }
   for (const ChangeRecord& record : *records) {
     if (line.json) {
@@ -213,7 +214,7 @@
 int RunStatus(OperatorClient& client, const CommandLine& line) {
   const Result<std::vector<DomainReport>> reports = client.ReadDomains();
   if (!reports) {
-    return Report(reports.error());
+    return ReportError(reports.error());
   }
   for (const DomainReport& report : *reports) {
     PrintDomain(report, line);
@@ -221,7 +222,7 @@
       PrintDecisions(report, line.json);
     }
   }
-  for (const EntryHostReport& host : client.AskEntryHosts()) {
+  for (const EntryHostReport& host : client.QueryEntryHosts()) {
     if (line.json) {
       std::cout << Json({{"entry_host", host.address.ToString()},
                          {"reachable", host.reachable},
@@ -247,7 +248,7 @@
   }
   const Result<std::vector<DomainReport>> reports = client.ReadDomains();
   if (!reports) {
-    return Report(reports.error());
+    return ReportError(reports.error());
   }
   for (const DomainReport& report : *reports) {
     if (!line.json) {
@@ -260,7 +261,7 @@
 
 Result<std::vector<RequestLogLine>> ReadLogs(
     const std::vector<std::string>& paths) {
-  std::vector<RequestLogLine> trail;
+  std::vector<RequestLogLine> log_lines;
   for (const std::string& path : paths) {
     std::ifstream stream(path);
     if (!stream) {
@@ -268,64 +269,64 @@
                   "The file '" + path + "' cannot be read.");
     }
     for (RequestLogLine& row : ReadRequestLog(stream)) {
-      trail.push_back(std::move(row));
+      log_lines.push_back(std::move(row));
     }
   }
-  return trail;
+  return log_lines;
 }
 
 int RunExplain(const CommandLine& line) {
-  const Result<std::vector<RequestLogLine>> trail = ReadLogs(line.logs);
-  if (!trail) {
-    return Report(trail.error());
+  const Result<std::vector<RequestLogLine>> log_lines = ReadLogs(line.logs);
+  if (!log_lines) {
+    return ReportError(log_lines.error());
   }
-  const Explanation told = ExplainRequest(*trail, line.request);
+  const Explanation explanation = ExplainRequest(*log_lines, line.request);
   if (line.json) {
     Json lines = Json::array();
-    for (const RequestLogLine& row : told.lines) {
+    for (const RequestLogLine& row : explanation.lines) {
       lines.push_back(row.fields);
     }
     std::cout << Json({{"event", "explained"},
                        {"request", line.request},
-                       {"cause", told.cause},
+                       {"cause", explanation.cause},
                        {"lines", lines}})
                      .dump()
               << "\n";
     return 0;
   }
-  for (const RequestLogLine& row : told.lines) {
+  for (const RequestLogLine& row : explanation.lines) {
     std::cout << FormatRequestLogLine(row) << "\n";
   }
-  if (!told.context.empty()) {
+  if (!explanation.context.empty()) {
     std::cout << "around it:\n";
   }
-  for (const RequestLogLine& row : told.context) {
+  for (const RequestLogLine& row : explanation.context) {
     std::cout << "  " << FormatRequestLogLine(row) << "\n";
   }
-  std::cout << told.cause << "\n";
+  std::cout << explanation.cause << "\n";
   return 0;
 }
 
 void PrintLosses(std::string_view title,
                  std::span<const LossRow> rows,
                  std::string LossRow::*field,
-                 const LossAccount& account) {
+                 const LossReport& account) {
   std::printf("%.*s\n", static_cast<int>(title.size()), title.data());
   std::printf("  %8s %7s %9s %8s %8s\n", "lost", "share", "requests", "age ms",
               "pred. ms");
   for (const LossRow& row : SumLosses(rows, field)) {
     std::printf("  %8.1f %7.4f %9d %8.0f %8.0f  %s\n", row.lost,
-                row.lost / std::max(1, account.asked), row.requests,
+                row.lost / std::max(1, account.total_requests), row.requests,
                 row.loads_age_ms, row.predicted_ms, (row.*field).c_str());
   }
 }
 
 /// The worst windows, each with its causes.
-void PrintWindows(const LossAccount& account, size_t most) {
+void PrintWindows(const LossReport& account, size_t max_rows) {
   std::map<int64_t, std::vector<LossRow>> windows;
   std::vector<std::pair<double, int64_t>> order;
   for (const LossRow& row : account.rows) {
-    windows[row.window_ms].push_back(row);
+    windows[row.window_start_ms].push_back(row);
   }
   for (const auto& [start, rows] : windows) {
     double lost = 0;
@@ -335,7 +336,7 @@
     order.emplace_back(-lost, start);
   }
   std::sort(order.begin(), order.end());
-  order.resize(std::min(order.size(), most));
+  order.resize(std::min(order.size(), max_rows));
   for (const auto& [lost, start] : order) {
     PrintLosses("from second " + std::to_string(start / 1000), windows[start],
                 &LossRow::cause, account);
@@ -343,20 +344,20 @@
 }
 
 int RunAccount(const CommandLine& line) {
-  const Result<std::vector<RequestLogLine>> trail = ReadLogs(line.logs);
-  if (!trail) {
-    return Report(trail.error());
+  const Result<std::vector<RequestLogLine>> log_lines = ReadLogs(line.logs);
+  if (!log_lines) {
+    return ReportError(log_lines.error());
   }
-  AccountPolicy policy = line.account;
+  LossReportPolicy policy = line.account;
   policy.window_ms = static_cast<int64_t>(line.window_seconds * 1000);
-  const LossAccount account = AccountLosses(*trail, policy);
+  const LossReport account = AttributeLosses(*log_lines, policy);
   if (line.json) {
     for (const LossRow& row : account.rows) {
       std::cout << Json({{"event", "loss"},
                          {"cause", row.cause},
                          {"route", row.route},
                          {"model", row.model},
-                         {"window_ms", row.window_ms},
+                         {"window_ms", row.window_start_ms},
                          {"requests", row.requests},
                          {"lost", row.lost},
                          {"loads_age_ms", row.loads_age_ms},
@@ -366,12 +367,12 @@
     }
     return 0;
   }
-  std::printf("asked %d, on time %d, lost %.1f\n", account.asked,
+  std::printf("asked %d, on time %d, lost %.1f\n", account.total_requests,
               account.on_time, account.lost);
   PrintLosses("by cause", account.rows, &LossRow::cause, account);
   PrintLosses("by model", account.rows, &LossRow::model, account);
   PrintLosses("by route", account.rows, &LossRow::route, account);
-  PrintWindows(account, line.most);
+  PrintWindows(account, line.max_rows);
   return 0;
 }
 
@@ -383,13 +384,14 @@
     return RunAccount(line);
   }
   if (line.settings_path.empty()) {
-    return Report(Error{ResultCode::kUsage, "The command '" + command +
-                                                "' needs --settings FILE."});
+    return ReportError(
+        Error{ResultCode::kUsage,
+              "The command '" + command + "' needs --settings FILE."});
   }
   const Result<Settings> settings =
       OperatorSchema().ReadFile(line.settings_path);
   if (!settings) {
-    return Report(settings.error());
+    return ReportError(settings.error());
   }
   OperatorClient client(*settings);
   if (command == "apply") {
@@ -429,7 +431,7 @@
       ->required();
   wait->add_option("--seconds", line.wait_seconds, "Longest wait.");
   CLI::App* history = app.add_subcommand("history", "List accepted changes.");
-  history->add_option("--most", line.most, "So many, newest first.");
+  history->add_option("--most", line.max_rows, "So many, newest first.");
   CLI::App* status =
       app.add_subcommand("status", "Show domains, groups and entry hosts.");
   status->add_flag("--explain", line.explain, "Show why groups changed.");
@@ -453,7 +455,8 @@
                    "Length of a row in time, in seconds.")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
-  account->add_option("--most", line.most, "So many windows, the worst first.")
+  account
+      ->add_option("--most", line.max_rows, "So many windows, the worst first.")
       ->capture_default_str();
   app.require_subcommand(1);
 }
--- a/source/main_history.cc
+++ b/source/main_history.cc
@@ -28,9 +28,9 @@
   }
   const std::vector<Violation> violations = CheckHistory(history, bounds);
   for (const Violation& violation : violations) {
-    std::printf("%d. %s: %s\n", static_cast<int>(violation.statement),
-                std::string(StatementText(violation.statement)).c_str(),
-                violation.events.c_str());
+    std::printf("%d. %s: %s\n", static_cast<int>(violation.invariant),
+                std::string(InvariantText(violation.invariant)).c_str(),
+                violation.description.c_str());
   }
   std::printf(
       "%zu callers' results, %zu executions, %zu forwarded answers, %zu "
@@ -50,9 +50,12 @@
   filbertrack::HistoryBounds bounds;
   app.set_version_flag("--version", "filbert-history " FILBERTRACK_VERSION);
   app.add_option("files", paths, "Files of JSON lines.")->required();
-  app.add_option("--evidence-us", bounds.evidence, "Bound on evidence.");
-  app.add_option("--leaving-us", bounds.leaving, "Bound for leaving servers.");
-  app.add_option("--in-force-us", bounds.in_force, "Bound for changes.");
+  app.add_option("--evidence-us", bounds.max_evidence_age,
+                 "Bound on evidence.");
+  app.add_option("--leaving-us", bounds.leaving_grace,
+                 "Bound for leaving servers.");
+  app.add_option("--in-force-us", bounds.propagation_timeout,
+                 "Bound for changes.");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
--- a/source/main_load.cc
+++ b/source/main_load.cc
@@ -92,7 +92,7 @@
   run.model = settings.Text("mix", "model");
   run.plain_service = settings.Text("mix", "plain_service");
   run.plain_idempotent = settings.Text("mix", "plain_idempotent");
-  run.keyed_tries = static_cast<int>(settings.Integer("mix", "keyed_tries"));
+  run.keyed_attempts = static_cast<int>(settings.Integer("mix", "keyed_tries"));
   run.deadline = settings.Time("run", "deadline");
   for (const char* side : {"side_a", "side_b"}) {
     const std::vector<Address>& hosts = settings.Addresses(side, "entry_hosts");
--- a/source/metrics.cc
+++ b/source/metrics.cc
@@ -12,16 +12,16 @@
 
 constexpr unsigned kBins = 520;
 /// The text page writes every so many edges.
-constexpr int kBinsPerEdge = 20;
-constexpr double kShortestSeconds = 50e-6;
+constexpr int kBinsPerBucket = 20;
+constexpr double kMinSeconds = 50e-6;
 constexpr double kMaxSeconds = 100;
 
 using Axis = histogram::axis::regular<double, histogram::axis::transform::log>;
 using Storage = histogram::dense_storage<uint64_t>;
 
-std::string Sample(std::string_view name,
-                   std::string_view labels,
-                   const std::string& value) {
+std::string FormatSample(std::string_view name,
+                         std::string_view labels,
+                         const std::string& value) {
   std::string line(name);
   if (!labels.empty()) {
     line += "{" + std::string(labels) + "}";
@@ -29,7 +29,7 @@
   return line + " " + value + "\n";
 }
 
-std::string Join(std::string_view labels, const std::string& label) {
+std::string JoinLabels(std::string_view labels, const std::string& label) {
   return labels.empty() ? label : std::string(labels) + "," + label;
 }
 
@@ -41,7 +41,7 @@
                  Format format) {
   text += "# TYPE " + name + " " + std::string(type) + "\n";
   for (const auto& [labels, value] : values) {
-    text += Sample(name, labels, format(value));
+    text += FormatSample(name, labels, format(value));
   }
 }
 
@@ -49,9 +49,8 @@
 
 struct LatencyHistogram::Bins {
   histogram::histogram<std::tuple<Axis>, Storage> counts =
-      histogram::make_histogram_with(
-          Storage(),
-          Axis(kBins, kShortestSeconds, kMaxSeconds));
+      histogram::make_histogram_with(Storage(),
+                                     Axis(kBins, kMinSeconds, kMaxSeconds));
 };
 
 LatencyHistogram::LatencyHistogram() : m_bins(std::make_unique<Bins>()) {}
@@ -65,21 +64,21 @@
 
 template <typename Row>
 void LatencyHistogram::ForEachBin(Row row) const {
-  uint64_t below = m_bins->counts.at(-1);
+  uint64_t cumulative = m_bins->counts.at(-1);
   const Axis& axis = m_bins->counts.axis(std::integral_constant<unsigned, 0>());
   for (int i = 0; i < axis.size(); ++i) {
-    below += m_bins->counts.at(i);
-    row(axis.bin(i).upper(), below);
+    cumulative += m_bins->counts.at(i);
+    row(axis.bin(i).upper(), cumulative);
   }
 }
 
 Duration LatencyHistogram::Quantile(double quantile) const {
-  const auto wanted =
+  const auto rank =
       static_cast<uint64_t>(std::ceil(quantile * static_cast<double>(m_count)));
   Duration edge = FromSeconds(kMaxSeconds);
   bool found = false;
-  ForEachBin([&](double upper, uint64_t below) {
-    if (!found && below >= wanted) {
+  ForEachBin([&](double upper, uint64_t cumulative) {
+    if (!found && cumulative >= rank) {
       edge = FromSeconds(upper);
       found = true;
     }
@@ -117,18 +116,20 @@
       const std::string& labels = row.first;
       const LatencyHistogram& latency = row.second;
       int bin = 0;
-      latency.ForEachBin([&](double upper, uint64_t below) {
-        if (++bin % kBinsPerEdge == 0) {
-          text += Sample(name + "_bucket",
-                         Join(labels, "le=\"" + std::to_string(upper) + "\""),
-                         std::to_string(below));
+      latency.ForEachBin([&](double upper, uint64_t cumulative) {
+        if (++bin % kBinsPerBucket == 0) {
+          text += FormatSample(
+              name + "_bucket",
+              JoinLabels(labels, "le=\"" + std::to_string(upper) + "\""),
+              std::to_string(cumulative));
         }
       });
-      text += Sample(name + "_bucket", Join(labels, "le=\"+Inf\""),
-                     std::to_string(latency.count()));
-      text += Sample(name + "_sum", labels,
-                     std::to_string(ToSeconds(latency.sum())));
-      text += Sample(name + "_count", labels, std::to_string(latency.count()));
+      text += FormatSample(name + "_bucket", JoinLabels(labels, "le=\"+Inf\""),
+                           std::to_string(latency.count()));
+      text += FormatSample(name + "_sum", labels,
+                           std::to_string(ToSeconds(latency.sum())));
+      text += FormatSample(name + "_count", labels,
+                           std::to_string(latency.count()));
     }
   }
   return text;
--- a/source/operator_client.cc
+++ b/source/operator_client.cc
@@ -8,20 +8,20 @@
 
 using Json = nlohmann::json;
 
-constexpr int kStoreTries = 5;
-constexpr Duration kStorePause = Milliseconds(200);
-constexpr Duration kAskTimeout = Seconds(2);
-constexpr Duration kWaitPause = Milliseconds(50);
+constexpr int kStoreAttempts = 5;
+constexpr Duration kStoreRetryDelay = Milliseconds(200);
+constexpr Duration kStatusTimeout = Seconds(2);
+constexpr Duration kPollInterval = Milliseconds(50);
 
-tl::unexpected<Error> StoreDown(const std::string& doing) {
+tl::unexpected<Error> StoreUnavailable(const std::string& action) {
   return Fail(ResultCode::kStoreUnavailable,
-              "The object API did not answer while " + doing +
+              "The object API did not answer while " + action +
                   "; nothing was changed.");
 }
 
-Result<ChangeResult> CheckChange(const Json& before,
-                                 const Json& change,
-                                 uint64_t generation) {
+Result<ChangeResult> ValidateChange(const Json& before,
+                                    const Json& change,
+                                    uint64_t generation) {
   if (!change.is_object()) {
     return Fail(ResultCode::kResourceInvalid,
                 "The change must be an object from kind/name to fields.");
@@ -58,10 +58,10 @@
               Seconds(1)),
       m_http(m_loop, 1) {}
 
-StoreAnswer OperatorClient::Get(const std::string& key) {
-  StoreAnswer result;
-  for (int i = 0; i < kStoreTries; ++i) {
-    m_store.Get(key, [&](StoreAnswer answer) {
+StoreResponse OperatorClient::Get(const std::string& key) {
+  StoreResponse result;
+  for (int i = 0; i < kStoreAttempts; ++i) {
+    m_store.Get(key, [&](StoreResponse answer) {
       result = std::move(answer);
       m_loop.Stop();
     });
@@ -69,16 +69,16 @@
     if (result.status != StoreStatus::kUnavailable) {
       break;
     }
-    Pause(kStorePause);
+    Pause(kStoreRetryDelay);
   }
   return result;
 }
 
-StoreAnswer OperatorClient::Put(const std::string& key,
-                                const std::string& value,
-                                uint64_t version) {
-  StoreAnswer result;
-  m_store.Put(key, value, version, [&](StoreAnswer answer) {
+StoreResponse OperatorClient::Put(const std::string& key,
+                                  const std::string& value,
+                                  uint64_t version) {
+  StoreResponse result;
+  m_store.Put(key, value, version, [&](StoreResponse answer) {
     result = std::move(answer);
     m_loop.Stop();
   });
@@ -88,14 +88,14 @@
 
 Result<std::vector<StoredObject>> OperatorClient::List(
     const std::string& prefix) {
-  WatchAnswer result;
-  m_store.Watch(prefix, 0, [&](WatchAnswer answer) {
+  WatchResponse result;
+  m_store.Watch(prefix, 0, [&](WatchResponse answer) {
     result = std::move(answer);
     m_loop.Stop();
   });
   m_loop.Run();
   if (result.status != StoreStatus::kOk) {
-    return StoreDown("objects under '" + prefix + "' were read");
+    return StoreUnavailable("objects under '" + prefix + "' were read");
   }
   return std::move(result.objects);
 }
@@ -107,12 +107,12 @@
 }
 
 Result<StoredConfig> OperatorClient::ReadConfig() {
-  const StoreAnswer root = Get(std::string(kConfigRootKey));
+  const StoreResponse root = Get(std::string(kConfigRootKey));
   if (root.status == StoreStatus::kNotFound) {
     return StoredConfig();
   }
   if (root.status != StoreStatus::kOk) {
-    return StoreDown("the configuration was read");
+    return StoreUnavailable("the configuration was read");
   }
   ObjectCache cache;
   cache.Offer(root.object);
@@ -136,9 +136,9 @@
     if (need == nullptr) {
       return config;
     }
-    const StoreAnswer object = Get(need->key);
+    const StoreResponse object = Get(need->key);
     if (object.status != StoreStatus::kOk) {
-      return StoreDown("the configuration was read");
+      return StoreUnavailable("the configuration was read");
     }
     cache.Offer(object.object);
   }
@@ -149,22 +149,23 @@
   if (!config) {
     return tl::unexpected<Error>(config.error());
   }
-  return CheckChange(config->set.resources, change, config->set.generation + 1);
+  return ValidateChange(config->set.resources, change,
+                        config->set.generation + 1);
 }
 
 Result<bool> OperatorClient::PutImmutable(const std::string& key,
                                           const std::string& value) {
-  for (int i = 0; i < kStoreTries; ++i) {
-    const StoreAnswer put = Put(key, value, 0);
+  for (int i = 0; i < kStoreAttempts; ++i) {
+    const StoreResponse put = Put(key, value, 0);
     // The key holds the change's own id, so what stands there is ours: an
     // earlier try took effect and its answer was lost.
     if (put.status == StoreStatus::kOk ||
         put.status == StoreStatus::kConflict) {
       return true;
     }
-    Pause(kStorePause);
+    Pause(kStoreRetryDelay);
   }
-  return StoreDown("the change was written");
+  return StoreUnavailable("the change was written");
 }
 
 Result<ChangeResult> OperatorClient::Apply(const ChangeRequest& request) {
@@ -174,7 +175,7 @@
   }
   const uint64_t generation = before->set.generation + 1;
   Result<ChangeResult> checked =
-      CheckChange(before->set.resources, request.change, generation);
+      ValidateChange(before->set.resources, request.change, generation);
   if (!checked || checked->changed.empty()) {
     return checked;
   }
@@ -203,34 +204,34 @@
       return tl::unexpected<Error>(written.error());
     }
   }
-  const StoreAnswer put = Put(std::string(kConfigRootKey), ToJson(root).dump(),
-                              before->root_version);
+  const StoreResponse put = Put(std::string(kConfigRootKey),
+                                ToJson(root).dump(), before->root_version);
   if (put.status == StoreStatus::kOk) {
     return checked;
   }
-  return ResolveLostAnswer(*before, record, request);
+  return ResolveUnknownWrite(*before, record, request);
 }
 
-Result<ChangeResult> OperatorClient::ResolveLostAnswer(
+Result<ChangeResult> OperatorClient::ResolveUnknownWrite(
     const StoredConfig& before,
     const ChangeRecord& record,
     const ChangeRequest& request) {
-  const Result<StoredConfig> present = ReadConfig();
-  if (!present) {
+  const Result<StoredConfig> current = ReadConfig();
+  if (!current) {
     return Fail(ResultCode::kStoreUnavailable,
                 "The object API did not answer. It is unknown whether change " +
                     record.change_id +
                     " took effect; 'filbertctl history' shows it if it did.");
   }
   const Result<bool> found =
-      ContainsChange(*present, record.generation, record.change_id);
+      ContainsChange(*current, record.generation, record.change_id);
   if (!found) {
     return tl::unexpected<Error>(found.error());
   }
   if (*found) {
     return ChangeResult{record.generation, record.changed};
   }
-  if (present->set.generation >= record.generation) {
+  if (current->set.generation >= record.generation) {
     return Fail(ResultCode::kConflict,
                 "Another operator's change became generation " +
                     std::to_string(record.generation) +
@@ -240,11 +241,11 @@
   // The write may still be on its way and take effect after we have said that
   // it did not. Writing the root anew as it is changes its version, after which
   // the old write's condition can no longer hold; then it is safe to try again.
-  const StoreAnswer fence =
+  const StoreResponse fencing_write =
       Put(std::string(kConfigRootKey), ToJson(before.root).dump(),
-          present->root_version);
-  if (fence.status != StoreStatus::kOk) {
-    return ResolveLostAnswer(before, record, request);
+          current->root_version);
+  if (fencing_write.status != StoreStatus::kOk) {
+    return ResolveUnknownWrite(before, record, request);
   }
   return Apply(request);
 }
@@ -254,9 +255,9 @@
                                             const std::string& change_id) {
   std::string key = config.root.delta_key;
   for (uint64_t g = config.root.generation; g >= generation && g > 0; --g) {
-    const StoreAnswer object = Get(key);
+    const StoreResponse object = Get(key);
     if (object.status != StoreStatus::kOk) {
-      return StoreDown("the history was read");
+      return StoreUnavailable("the history was read");
     }
     const Result<ConfigDelta> delta = ParseConfigDelta(object.object.value);
     if (!delta) {
@@ -270,17 +271,17 @@
   return false;
 }
 
-Result<std::vector<ChangeRecord>> OperatorClient::History(size_t most) {
+Result<std::vector<ChangeRecord>> OperatorClient::History(size_t max_records) {
   const Result<StoredConfig> config = ReadConfig();
   if (!config) {
     return tl::unexpected<Error>(config.error());
   }
   std::vector<ChangeRecord> records;
   std::string key = config->root.delta_key;
-  while (!key.empty() && records.size() < most) {
-    const StoreAnswer object = Get(key);
+  while (!key.empty() && records.size() < max_records) {
+    const StoreResponse object = Get(key);
     if (object.status != StoreStatus::kOk) {
-      return StoreDown("the history was read");
+      return StoreUnavailable("the history was read");
     }
     const Result<ConfigDelta> delta = ParseConfigDelta(object.object.value);
     if (!delta) {
@@ -325,7 +326,7 @@
   return reports;
 }
 
-std::vector<EntryHostReport> OperatorClient::AskEntryHosts() {
+std::vector<EntryHostReport> OperatorClient::QueryEntryHosts() {
   std::vector<EntryHostReport> reports;
   for (const Address& address : m_settings.Addresses("entry_hosts", "admin")) {
     EntryHostReport report;
@@ -333,7 +334,7 @@
     std::string body;
     HttpCallRequest request;
     request.target = "/status";
-    request.idle_timeout = kAskTimeout;
+    request.idle_timeout = kStatusTimeout;
     HttpCallEvents events;
     events.on_bytes = [&body](std::string_view bytes) { body += bytes; };
     events.on_end = [this](int) { m_loop.Stop(); };
@@ -352,25 +353,26 @@
   return reports;
 }
 
-Result<bool> OperatorClient::WaitInForce(uint64_t generation, Duration limit) {
-  const TimePoint end = MonotonicNow() + limit;
+Result<bool> OperatorClient::WaitInForce(uint64_t generation,
+                                         Duration timeout) {
+  const TimePoint deadline = MonotonicNow() + timeout;
   while (true) {
-    std::string behind;
-    for (const EntryHostReport& report : AskEntryHosts()) {
+    std::string lagging;
+    for (const EntryHostReport& report : QueryEntryHosts()) {
       if (report.generation < generation) {
-        behind += " " + report.address.ToString() +
-                  (report.reachable ? "" : " (unreachable)");
+        lagging += " " + report.address.ToString() +
+                   (report.reachable ? "" : " (unreachable)");
       }
     }
-    if (behind.empty()) {
+    if (lagging.empty()) {
       return true;
     }
-    if (MonotonicNow() >= end) {
+    if (MonotonicNow() >= deadline) {
       return Fail(ResultCode::kNotInForce,
                   "Generation " + std::to_string(generation) +
-                      " is accepted and not yet in force on:" + behind + ".");
+                      " is accepted and not yet in force on:" + lagging + ".");
     }
-    Pause(kWaitPause);
+    Pause(kPollInterval);
   }
 }
 
--- a/source/program.cc
+++ b/source/program.cc
@@ -42,8 +42,8 @@
     std::printf("%s: the settings are valid.\n", settings_path.c_str());
     return 0;
   }
-  if (program.run_reloading) {
-    return program.run_reloading(*settings, [&program, &settings_path] {
+  if (program.run_with_reload) {
+    return program.run_with_reload(*settings, [&program, &settings_path] {
       return program.schema.ReadFile(settings_path);
     });
   }
--- a/source/settings.cc
+++ b/source/settings.cc
@@ -121,16 +121,17 @@
 /// Says what a key accepts, in words for errors and help.
 struct AllowedText {
   std::string operator()(const IntegerKey& type) const {
-    return "an integer from " + std::to_string(type.lowest) + " to " +
-           std::to_string(type.highest);
+    return "an integer from " + std::to_string(type.min_value) + " to " +
+           std::to_string(type.max_value);
   }
   std::string operator()(const NumberKey& type) const {
-    return "a number from " + FormatNumber(type.lowest) + " to " +
-           FormatNumber(type.highest);
+    return "a number from " + FormatNumber(type.min_value) + " to " +
+           FormatNumber(type.max_value);
   }
   std::string operator()(const DurationKey& type) const {
     return "a duration with a unit (us, ms, s, m, h) from " +
-           FormatDuration(type.lowest) + " to " + FormatDuration(type.highest);
+           FormatDuration(type.min_value) + " to " +
+           FormatDuration(type.max_value);
   }
   std::string operator()(const TextKey& type) const {
     if (type.min_bytes > 0) {
@@ -160,8 +161,8 @@
 
   bool operator()(const IntegerKey& type) const {
     int64_t number = 0;
-    if (!ParseInteger(text, &number) || number < type.lowest ||
-        number > type.highest) {
+    if (!ParseInteger(text, &number) || number < type.min_value ||
+        number > type.max_value) {
       return false;
     }
     *value = number;
@@ -169,8 +170,8 @@
   }
   bool operator()(const NumberKey& type) const {
     double number = 0;
-    if (!ParseNumber(text, &number) || !(number >= type.lowest) ||
-        !(number <= type.highest)) {
+    if (!ParseNumber(text, &number) || !(number >= type.min_value) ||
+        !(number <= type.max_value)) {
       return false;
     }
     *value = number;
@@ -178,8 +179,8 @@
   }
   bool operator()(const DurationKey& type) const {
     Duration duration{};
-    if (!ParseDuration(text, &duration) || duration < type.lowest ||
-        duration > type.highest) {
+    if (!ParseDuration(text, &duration) || duration < type.min_value ||
+        duration > type.max_value) {
       return false;
     }
     *value = duration;
@@ -216,27 +217,27 @@
 };
 
 /// The value of a key that the file does not name; false where it must be.
-struct FallbackReader {
+struct DefaultValueReader {
   Settings::Value* value;
 
   bool operator()(const IntegerKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const NumberKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const DurationKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const TextKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return !type.required;
   }
   bool operator()(const AddressKey& type) const {
-    const std::string& text = type.fallback;
+    const std::string& text = type.default_value;
     return !text.empty() && ValueReader{text, value}(type);
   }
   bool operator()(const AddressListKey&) const {
@@ -245,21 +246,21 @@
   }
 };
 
-struct FallbackText {
+struct DefaultValueText {
   std::string operator()(const IntegerKey& type) const {
-    return std::to_string(type.fallback);
+    return std::to_string(type.default_value);
   }
   std::string operator()(const NumberKey& type) const {
-    return FormatNumber(type.fallback);
+    return FormatNumber(type.default_value);
   }
   std::string operator()(const DurationKey& type) const {
-    return FormatDuration(type.fallback);
+    return FormatDuration(type.default_value);
   }
   std::string operator()(const TextKey& type) const {
-    return type.required ? "required" : "\"" + type.fallback + "\"";
+    return type.required ? "required" : "\"" + type.default_value + "\"";
   }
   std::string operator()(const AddressKey& type) const {
-    return type.fallback.empty() ? "required" : type.fallback;
+    return type.default_value.empty() ? "required" : type.default_value;
   }
   std::string operator()(const AddressListKey&) const { return "empty"; }
 };
@@ -341,9 +342,9 @@
   }
   const std::vector<IniEntry>& entries = *read;
   Settings settings;
-  for (const KeyRow& row : m_rows) {
+  for (const SettingsKey& row : m_rows) {
     Settings::Value value;
-    if (std::visit(FallbackReader{&value}, row.type)) {
+    if (std::visit(DefaultValueReader{&value}, row.type)) {
       settings.Put(row.section, row.key, std::move(value));
       continue;
     }
@@ -384,10 +385,10 @@
 
 std::string SettingsSchema::Describe() const {
   std::string text;
-  for (const KeyRow& row : m_rows) {
+  for (const SettingsKey& row : m_rows) {
     text += "[" + row.section + "] " + row.key + ": " + row.meaning +
             " Allowed: " + std::visit(AllowedText{}, row.type) +
-            ". Default: " + std::visit(FallbackText{}, row.type) + ".\n";
+            ". Default: " + std::visit(DefaultValueText{}, row.type) + ".\n";
   }
   return text;
 }
--- a/source/store_client.cc
+++ b/source/store_client.cc
@@ -13,49 +13,49 @@
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusConflict = 412;
 
-StoredObject ReadObject(const Json& value) {
+StoredObject ParseObject(const Json& value) {
   return {value.at("key"), value.at("value"), value.at("version")};
 }
 
-StoreAnswer ReadAnswer(int status, const std::string& body) {
-  StoreAnswer answer;
+StoreResponse ParseStoreResponse(int status, const std::string& body) {
+  StoreResponse response;
   if (status == kStatusNotFound) {
-    answer.status = StoreStatus::kNotFound;
-    return answer;
+    response.status = StoreStatus::kNotFound;
+    return response;
   }
   if (status == kStatusConflict) {
-    answer.status = StoreStatus::kConflict;
-    return answer;
+    response.status = StoreStatus::kConflict;
+    return response;
   }
   if (status != kStatusOk) {
-    return answer;
+    return response;
   }
   try {
-    answer.object = ReadObject(Json::parse(body));
-    answer.status = StoreStatus::kOk;
+    response.object = ParseObject(Json::parse(body));
+    response.status = StoreStatus::kOk;
   } catch (const Json::exception&) {
     // A body that cannot be read tells nothing of the outcome.
-    answer.status = StoreStatus::kUnavailable;
+    response.status = StoreStatus::kUnavailable;
   }
-  return answer;
+  return response;
 }
 
-WatchAnswer ReadWatch(int status, const std::string& body) {
-  WatchAnswer answer;
+WatchResponse ParseWatchResponse(int status, const std::string& body) {
+  WatchResponse response;
   if (status != kStatusOk) {
-    return answer;
+    return response;
   }
   try {
     const Json value = Json::parse(body);
-    answer.revision = value.at("revision");
+    response.revision = value.at("revision");
     for (const Json& object : value.at("objects")) {
-      answer.objects.push_back(ReadObject(object));
+      response.objects.push_back(ParseObject(object));
     }
-    answer.status = StoreStatus::kOk;
+    response.status = StoreStatus::kOk;
   } catch (const Json::exception&) {
-    answer = WatchAnswer();
+    response = WatchResponse();
   }
-  return answer;
+  return response;
 }
 
 }  // namespace
@@ -78,21 +78,21 @@
       m_http(loop, kIdleConnections) {}
 
 void StoreClient::Get(const std::string& key,
-                      std::function<void(StoreAnswer)> done) {
+                      std::function<void(StoreResponse)> done) {
   HttpCallRequest request;
   request.target = "/v1/objects/" + key;
   Start(std::move(request), m_timeout,
         [key, done = std::move(done)](int status, const std::string& body) {
-          StoreAnswer answer = ReadAnswer(status, body);
-          answer.object.key = key;
-          done(std::move(answer));
+          StoreResponse response = ParseStoreResponse(status, body);
+          response.object.key = key;
+          done(std::move(response));
         });
 }
 
 void StoreClient::Put(const std::string& key,
                       std::string value,
                       uint64_t expected_version,
-                      std::function<void(StoreAnswer)> done) {
+                      std::function<void(StoreResponse)> done) {
   HttpCallRequest request;
   request.method = HttpMethod::kPut;
   request.target = "/v1/objects/" + key;
@@ -100,20 +100,20 @@
   request.body = std::move(value);
   Start(std::move(request), m_timeout,
         [done = std::move(done)](int status, const std::string& body) {
-          done(ReadAnswer(status, body));
+          done(ParseStoreResponse(status, body));
         });
 }
 
 void StoreClient::Watch(const std::string& prefix,
                         uint64_t revision,
-                        std::function<void(WatchAnswer)> done) {
+                        std::function<void(WatchResponse)> done) {
   HttpCallRequest request;
   request.target = "/v1/watch?prefix=" + prefix +
                    "&since=" + std::to_string(revision) +
                    "&wait_ms=" + std::to_string(ToMilliseconds(m_watch_wait));
   Start(std::move(request), m_watch_wait + m_timeout,
         [done = std::move(done)](int status, const std::string& body) {
-          done(ReadWatch(status, body));
+          done(ParseWatchResponse(status, body));
         });
 }
 
--- a/source/store_watch.cc
+++ b/source/store_watch.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration kFirstBackoff = Milliseconds(100);
+constexpr Duration kMinBackoff = Milliseconds(100);
 constexpr Duration kMaxBackoff = Seconds(5);
 
 }  // namespace
@@ -30,9 +30,9 @@
         m_prefixes.begin(), m_prefixes.end(),
         [&prefix](const auto& watched) { return watched->prefix == prefix; });
     if (!known) {
-      m_prefixes.push_back(std::make_shared<Prefix>());
+      m_prefixes.push_back(std::make_shared<WatchedPrefix>());
       m_prefixes.back()->prefix = prefix;
-      Ask(m_prefixes.back());
+      StartWatch(m_prefixes.back());
     }
   }
 }
@@ -42,37 +42,37 @@
                      [](const auto& prefix) { return prefix->healthy; });
 }
 
-void StoreWatch::Ask(const std::shared_ptr<Prefix>& prefix) {
+void StoreWatch::StartWatch(const std::shared_ptr<WatchedPrefix>& prefix) {
   m_store.Watch(
       prefix->prefix, prefix->revision,
-      [this, weak = std::weak_ptr<Prefix>(prefix)](const WatchAnswer& answer) {
-        if (const std::shared_ptr<Prefix> watched = weak.lock()) {
-          OnAnswer(watched, answer);
+      [this, weak = std::weak_ptr<WatchedPrefix>(prefix)](
+          const WatchResponse& response) {
+        if (const std::shared_ptr<WatchedPrefix> watched = weak.lock()) {
+          OnResponse(watched, response);
         }
       });
 }
 
-void StoreWatch::OnAnswer(const std::shared_ptr<Prefix>& prefix,
-                          const WatchAnswer& answer) {
-  prefix->healthy = answer.status == StoreStatus::kOk;
+void StoreWatch::OnResponse(const std::shared_ptr<WatchedPrefix>& prefix,
+                            const WatchResponse& response) {
+  prefix->healthy = response.status == StoreStatus::kOk;
   if (!prefix->healthy) {
-    prefix->backoff =
-        std::clamp(prefix->backoff * 2, kFirstBackoff, kMaxBackoff);
+    prefix->backoff = std::clamp(prefix->backoff * 2, kMinBackoff, kMaxBackoff);
     prefix->timer = m_loop.After(
-        prefix->backoff, [this, weak = std::weak_ptr<Prefix>(prefix)] {
-          if (const std::shared_ptr<Prefix> watched = weak.lock()) {
-            Ask(watched);
+        prefix->backoff, [this, weak = std::weak_ptr<WatchedPrefix>(prefix)] {
+          if (const std::shared_ptr<WatchedPrefix> watched = weak.lock()) {
+            StartWatch(watched);
           }
         });
     return;
   }
   prefix->backoff = Duration(0);
-  prefix->revision = answer.revision;
+  prefix->revision = response.revision;
   bool changed = false;
-  for (const StoredObject& object : answer.objects) {
+  for (const StoredObject& object : response.objects) {
     changed = m_cache.Offer(object) || changed;
   }
-  Ask(prefix);
+  StartWatch(prefix);
   if (changed) {
     m_on_change();
   }
--- a/standins/platform_runner_standin.cc
+++ b/standins/platform_runner_standin.cc
@@ -8,15 +8,15 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view kSeal = "seal-of-";
+constexpr std::string_view kSealPrefix = "seal-of-";
 /// A cold server ends at more requests in a second than these make of what it
 /// bears.
-constexpr double kColdOverage = 1.5;
+constexpr double kColdFactor = 1.5;
 constexpr double kColdSlack = 5;
 /// From the beginning of a run until it ends the process.
-constexpr Duration kUntilCrash = Milliseconds(5);
+constexpr Duration kCrashDelay = Milliseconds(5);
 /// Three heartbeats, shortened.
-constexpr Duration kLapse = Milliseconds(600);
+constexpr Duration kRegistrationTtl = Milliseconds(600);
 
 }  // namespace
 
@@ -30,7 +30,7 @@
         Handle(exchange);
       }) {
   m_address = m_server.Listen({"127.0.0.1", 0}).value();
-  m_published =
+  m_published_address =
       m_options.published ? m_options.published(m_address) : m_address;
   Register("ready");
 }
@@ -40,15 +40,15 @@
 }
 
 void PlatformRunnerStandin::Register(const std::string& state) {
-  Json spec = {
-      {"service", m_options.service},
-      {"address", m_published.ToString()},
-      {"zone", m_options.data_centre},
-      {"version", "v1"},
-      {"slots", 4},
-      {"state", state},
-      {"coldRemainingMs", m_cold.registers ? ToMilliseconds(ColdLeft()) : 0},
-      {"seq", 1}};
+  Json spec = {{"service", m_options.service},
+               {"address", m_published_address.ToString()},
+               {"zone", m_options.data_centre},
+               {"version", "v1"},
+               {"slots", 4},
+               {"state", state},
+               {"coldRemainingMs",
+                m_cold.registers ? ToMilliseconds(RemainingColdTime()) : 0},
+               {"seq", 1}};
   if (!m_options.is_plain) {
     spec["domain"] = m_options.domain;
     spec["staged"] = m_staged;
@@ -72,7 +72,7 @@
 
 void PlatformRunnerStandin::Die() {
   Stop();
-  Lapse();
+  ExpireRegistration();
 }
 
 void PlatformRunnerStandin::Crash() {
@@ -83,9 +83,9 @@
   if (m_options.observer != nullptr) {
     m_options.observer->OnCrash(*this);
   }
-  m_loop.Call(kLapse, [this, alive = m_alive] {
+  m_loop.Call(kRegistrationTtl, [this, alive = m_alive] {
     if (*alive) {
-      Lapse();
+      ExpireRegistration();
     }
   });
 }
@@ -105,7 +105,7 @@
   Register("ready");
 }
 
-void PlatformRunnerStandin::Lapse() {
+void PlatformRunnerStandin::ExpireRegistration() {
   m_store.Remove("servers", m_options.id);
 }
 
@@ -128,13 +128,13 @@
     HttpHeaders headers = {{"X-Runner-Id", m_options.id}};
     if (is_cold()) {
       headers.emplace_back("X-Cold-Ms",
-                           std::to_string(ToMilliseconds(ColdLeft())));
+                           std::to_string(ToMilliseconds(RemainingColdTime())));
     }
     exchange->Reply(200, headers, "");
     return;
   }
   if (exchange->path() == "/order") {
-    Obey(*exchange);
+    HandleOrder(*exchange);
     return;
   }
   Run(exchange);
@@ -181,7 +181,7 @@
   m_state = m_streams.empty() ? "ready" : "closing";
 }
 
-void PlatformRunnerStandin::Obey(HttpExchange& exchange) {
+void PlatformRunnerStandin::HandleOrder(HttpExchange& exchange) {
   ++m_orders;
   const Json order = Json::parse(exchange.body(), nullptr, false);
   const std::string operation = order.value("operation", "");
@@ -195,9 +195,9 @@
     exchange.Reply(202, {}, "");
     return;
   }
-  const bool fits = order.value("group", "") == m_group &&
-                    order.value("epoch", uint64_t{0}) == m_epoch;
-  if (!fits) {
+  const bool matches = order.value("group", "") == m_group &&
+                       order.value("epoch", uint64_t{0}) == m_epoch;
+  if (!matches) {
     exchange.Reply(409, {}, "");
     return;
   }
@@ -219,10 +219,12 @@
   exchange.Reply(202, {}, "");
 }
 
-HttpHeaders PlatformRunnerStandin::AnswerHeaders(HttpExchange& exchange) const {
+HttpHeaders PlatformRunnerStandin::ResponseHeaders(
+    HttpExchange& exchange) const {
   const std::string id(exchange.Header("X-Attempt-Id"));
-  HttpHeaders headers = {{"X-Attempt-Id", m_mixes_answers ? "another" : id},
-                         {"X-Runner-Seal", std::string(kSeal) + m_options.id}};
+  HttpHeaders headers = {
+      {"X-Attempt-Id", m_sends_wrong_attempt_id ? "another" : id},
+      {"X-Runner-Seal", std::string(kSealPrefix) + m_options.id}};
   AddSignals(headers);
   return headers;
 }
@@ -241,22 +243,22 @@
       {std::string(exchange.Header("X-Attempt-Id")), MonotonicNow()});
   HttpHeaders headers = {{"X-Not-Executed", "1"}};
   AddSignals(headers);
-  if (m_rest) {
-    headers.emplace_back("Retry-After", Json(ToSeconds(*m_rest)).dump());
+  if (m_retry_after) {
+    headers.emplace_back("Retry-After", Json(ToSeconds(*m_retry_after)).dump());
   }
   exchange.Reply(503, headers, "");
   CheckCold();
 }
 
-void PlatformRunnerStandin::SetCold(const ColdSpell& spell) {
-  m_cold = spell;
-  m_cold_until = MonotonicNow() + spell.left;
-  if (spell.registers) {
+void PlatformRunnerStandin::SetCold(const ColdStart& cold_start) {
+  m_cold = cold_start;
+  m_cold_until = MonotonicNow() + cold_start.left;
+  if (cold_start.registers) {
     Register("ready");
   }
 }
 
-Duration PlatformRunnerStandin::ColdLeft() const {
+Duration PlatformRunnerStandin::RemainingColdTime() const {
   return std::max(Duration(0), m_cold_until - MonotonicNow());
 }
 
@@ -270,21 +272,21 @@
   }
   std::erase_if(arrivals, [since](TimePoint at) { return at < since; });
   std::sort(arrivals.begin(), arrivals.end());
-  size_t most = 0;
+  size_t max_count = 0;
   size_t begin = 0;
   for (size_t i = 0; i < arrivals.size(); ++i) {
     while (arrivals[i] - arrivals[begin] >= Seconds(1)) {
       ++begin;
     }
-    most = std::max(most, i - begin + 1);
+    max_count = std::max(max_count, i - begin + 1);
   }
-  return most;
+  return max_count;
 }
 
 void PlatformRunnerStandin::CheckCold() {
-  const double borne = m_cold.per_second * kColdOverage + kColdSlack;
-  if (is_cold() &&
-      static_cast<double>(MaxInSecond(MonotonicNow() - Seconds(1))) > borne) {
+  const double max_requests = m_cold.per_second * kColdFactor + kColdSlack;
+  if (is_cold() && static_cast<double>(MaxInSecond(
+                       MonotonicNow() - Seconds(1))) > max_requests) {
     m_loop.Post([this, alive = m_alive] {
       if (*alive) {
         Crash();
@@ -307,37 +309,38 @@
   seen.arrived = MonotonicNow();
   m_seen.push_back(seen);
   CheckCold();
-  const bool ends =
-      !m_options.ends_on.empty() &&
-      exchange->body().find(m_options.ends_on) != std::string::npos;
-  if (ends) {
-    m_loop.Call(kUntilCrash, [this, alive = m_alive] {
+  const bool crashes =
+      !m_options.crash_trigger.empty() &&
+      exchange->body().find(m_options.crash_trigger) != std::string::npos;
+  if (crashes) {
+    m_loop.Call(kCrashDelay, [this, alive = m_alive] {
       if (*alive) {
         Crash();
       }
     });
   }
-  if (ends && m_options.is_plain) {
+  if (crashes && m_options.is_plain) {
     m_streams.push_back(exchange);
     return;
   }
   if (m_options.is_plain) {
-    if (m_loses_answers) {
+    if (m_drops_responses) {
       exchange->Abort();
       return;
     }
-    exchange->Reply(200, AnswerHeaders(*exchange), "answer of " + m_options.id);
+    exchange->Reply(200, ResponseHeaders(*exchange),
+                    "answer of " + m_options.id);
     return;
   }
-  HttpHeaders headers = AnswerHeaders(*exchange);
+  HttpHeaders headers = ResponseHeaders(*exchange);
   headers.emplace_back("Content-Type", "text/event-stream");
   exchange->StartStream(200, headers);
   m_streams.push_back(exchange);
-  if (ends) {
+  if (crashes) {
     return;
   }
   const size_t number = m_seen.size() - 1;
-  exchange->OnCallerGone([this, alive = m_alive, number] {
+  exchange->OnCallerDisconnected([this, alive = m_alive, number] {
     if (*alive) {
       m_seen[number].ended = true;
     }
@@ -346,8 +349,8 @@
          seen.last_event.empty() ? 1 : std::stoi(seen.last_event) + 1);
 }
 
-bool PlatformRunnerStandin::CutIfUnread(const Exchange& exchange,
-                                        size_t number) {
+bool PlatformRunnerStandin::AbortIfUnread(const Exchange& exchange,
+                                          size_t number) {
   SeenRequest& seen = m_seen[number];
   if (exchange->UnsentBytes() == 0) {
     seen.unread_since.reset();
@@ -357,26 +360,26 @@
   if (!seen.unread_since) {
     seen.unread_since = now;
   }
-  const bool cuts = m_options.unread_patience > Duration(0) &&
-                    now - *seen.unread_since > m_options.unread_patience;
-  if (cuts) {
-    ++m_cut_unread;
+  const bool aborts = m_options.unread_timeout > Duration(0) &&
+                      now - *seen.unread_since > m_options.unread_timeout;
+  if (aborts) {
+    ++m_unread_aborts;
     exchange->Abort();
     std::erase(m_streams, exchange);
   }
-  return cuts;
+  return aborts;
 }
 
 void PlatformRunnerStandin::Stream(const Exchange& exchange,
                                    size_t number,
                                    int event) {
-  const bool halts = event == m_halt_after + 1;
-  m_loop.Call(halts ? m_halt : m_options.pause, [this, alive = m_alive,
-                                                 exchange, number, event] {
+  const bool stalls = event == m_stall_after_event + 1;
+  m_loop.Call(stalls ? m_stall : m_options.pause, [this, alive = m_alive,
+                                                   exchange, number, event] {
     if (!*alive || m_dead || !exchange->IsOpen()) {
       return;
     }
-    if (CutIfUnread(exchange, number)) {
+    if (AbortIfUnread(exchange, number)) {
       return;
     }
     if (event > m_options.events) {
--- a/standins/platform_runner_standin.h
+++ b/standins/platform_runner_standin.h
@@ -47,13 +47,13 @@
   Duration pause = Milliseconds(10);
   Duration load = Milliseconds(20);
   /// A request whose body holds this ends the process; empty: none does.
-  std::string ends_on;
+  std::string crash_trigger;
   /// A stream that stays unread for this long is cut; 0: none is.
-  Duration unread_patience{0};
+  Duration unread_timeout{0};
 };
 
 /// A server that bears few requests until it is warm.
-struct ColdSpell {
+struct ColdStart {
   Duration left{0};
   /// Requests a second that it bears meanwhile.
   double per_second = 0;
@@ -100,18 +100,20 @@
   /// Its streams have this many events from now on.
   void SetEvents(int events) { m_options.events = events; }
   /// A request whose body holds this ends the process from now on.
-  void SetEndsOn(std::string body) { m_options.ends_on = std::move(body); }
+  void SetCrashTrigger(std::string body) {
+    m_options.crash_trigger = std::move(body);
+  }
   /// Its streams stand still once, for this long, after this event.
-  void SetHalt(int after_event, Duration halt) {
-    m_halt_after = after_event;
-    m_halt = halt;
+  void SetStreamStall(int after_event, Duration stall) {
+    m_stall_after_event = after_event;
+    m_stall = stall;
   }
   const std::vector<std::string>& members() const { return m_members; }
 
   /// As a head that lost a member: ends what it has and refuses all requests.
   void Break();
   /// Its registration lapses; it lives and answers. Register() brings it back.
-  void Lapse();
+  void ExpireRegistration();
   /// Registers anew with `state` as ready or draining.
   void Register(const std::string& state);
   /// Stops answering, cuts its streams and leaves the store.
@@ -122,42 +124,44 @@
   /// The next requests are refused as not run.
   void SetFull(bool full) { m_full = full; }
   /// The next plain answers are cut after they ran.
-  void SetLosesAnswers(bool loses) { m_loses_answers = loses; }
+  void SetDropsResponses(bool drops) { m_drops_responses = drops; }
   /// Names this limit, requests a second, in all answers; nullopt: none.
   void SetLimit(std::optional<double> per_second) { m_limit = per_second; }
   /// Asks for so long a rest as it refuses; nullopt: it names no time.
-  void SetRest(std::optional<Duration> rest) { m_rest = rest; }
+  void SetRetryAfter(std::optional<Duration> retry_after) {
+    m_retry_after = retry_after;
+  }
   /// Is cold from now on: it ends when well more requests reach it in a second
   /// than it bears.
-  void SetCold(const ColdSpell& spell);
-  Duration ColdLeft() const;
+  void SetCold(const ColdStart& cold_start);
+  Duration RemainingColdTime() const;
   bool is_cold() const { return MonotonicNow() < m_cold_until; }
   /// The most requests, refused ones with them, in any second from `since` on.
   size_t MaxInSecond(TimePoint since) const;
   /// Streams that it cut because they stayed unread.
-  int cut_unread() const { return m_cut_unread; }
+  int unread_aborts() const { return m_unread_aborts; }
   /// Says in all answers that it leaves.
   void SetLeaving(bool leaving) { m_leaving = leaving; }
   /// Requests that it refused because it is full.
   const std::vector<RefusedRequest>& refusals() const { return m_refusals; }
   /// The next plain answers bear another request's name.
-  void SetMixesAnswers(bool mixes) { m_mixes_answers = mixes; }
+  void SetSendsWrongAttemptId(bool wrong) { m_sends_wrong_attempt_id = wrong; }
 
  private:
   using Exchange = std::shared_ptr<HttpExchange>;
 
   void Stop();
   void Handle(const Exchange& exchange);
-  void Obey(HttpExchange& exchange);
+  void HandleOrder(HttpExchange& exchange);
   void Join(HttpExchange& exchange, const nlohmann::json& order);
   void Close(bool cancel);
   void Run(const Exchange& exchange);
   /// A cold server ends under too many requests.
   void CheckCold();
   /// Cuts the stream if it stayed unread for too long.
-  bool CutIfUnread(const Exchange& exchange, size_t number);
+  bool AbortIfUnread(const Exchange& exchange, size_t number);
   void Stream(const Exchange& exchange, size_t number, int event);
-  HttpHeaders AnswerHeaders(HttpExchange& exchange) const;
+  HttpHeaders ResponseHeaders(HttpExchange& exchange) const;
   /// What it says of itself in all answers.
   void AddSignals(HttpHeaders& headers) const;
   void Refuse(HttpExchange& exchange);
@@ -167,21 +171,21 @@
   RunnerStandinOptions m_options;
   HttpServer m_server;
   Address m_address;
-  Address m_published;
+  Address m_published_address;
   bool m_dead = false;
   bool m_full = false;
-  bool m_loses_answers = false;
-  bool m_mixes_answers = false;
+  bool m_drops_responses = false;
+  bool m_sends_wrong_attempt_id = false;
   std::optional<double> m_limit;
-  std::optional<Duration> m_rest;
+  std::optional<Duration> m_retry_after;
   bool m_leaving = false;
   std::vector<RefusedRequest> m_refusals;
   uint64_t m_orders = 0;
   TimePoint m_cold_until{};
-  ColdSpell m_cold;
-  int m_cut_unread = 0;
-  int m_halt_after = -1;
-  Duration m_halt{0};
+  ColdStart m_cold;
+  int m_unread_aborts = 0;
+  int m_stall_after_event = -1;
+  Duration m_stall{0};
 
   std::string m_group;
   uint64_t m_epoch = 0;
--- a/standins/platform_store_standin.cc
+++ b/standins/platform_store_standin.cc
@@ -13,15 +13,15 @@
 
 /// What stands for a byte that is no UTF-8, which the JSON library does not
 /// write: the letter U+00FF.
-constexpr std::string_view kStandsForBadByte = "\xC3\xBF";
+constexpr std::string_view kInvalidBytePlaceholder = "\xC3\xBF";
 
 std::string Dump(const Json& value) {
   std::string text = value.dump();
-  size_t at = text.find(kStandsForBadByte);
+  size_t at = text.find(kInvalidBytePlaceholder);
   while (at != std::string::npos) {
     text.erase(at, 1);
     text[at] = '\xFF';
-    at = text.find(kStandsForBadByte, at);
+    at = text.find(kInvalidBytePlaceholder, at);
   }
   return text;
 }
@@ -98,8 +98,8 @@
     List(*exchange, kind);
     return;
   }
-  const auto found = m_kinds[kind].find(name);
-  if (found == m_kinds[kind].end()) {
+  const auto found = m_objects[kind].find(name);
+  if (found == m_objects[kind].end()) {
     exchange->Reply(404, {}, "{}");
   } else {
     exchange->Reply(200, {}, found->second.dump());
@@ -108,7 +108,7 @@
 
 void PlatformStoreStandin::List(HttpExchange& exchange,
                                 const std::string& kind) {
-  const auto& objects = m_kinds[kind];
+  const auto& objects = m_objects[kind];
   const std::string after = exchange.Query("after");
   Json items = Json::array();
   auto it = after.empty() ? objects.begin() : objects.upper_bound(after);
@@ -125,17 +125,17 @@
   }
 }
 
-bool PlatformStoreStandin::AnswerWatch(HttpExchange& exchange,
-                                       const std::string& kind,
-                                       uint64_t since,
-                                       bool even_empty) {
+bool PlatformStoreStandin::ReplyToWatch(HttpExchange& exchange,
+                                        const std::string& kind,
+                                        uint64_t since,
+                                        bool reply_if_empty) {
   Json events = Json::array();
   for (const Event& event : m_history) {
     if (event.revision > since && event.kind == kind) {
       events.push_back({{"object", event.object}, {"deleted", event.deleted}});
     }
   }
-  if (events.empty() && !even_empty) {
+  if (events.empty() && !reply_if_empty) {
     return false;
   }
   exchange.Reply(200, {}, Dump({{"events", events}, {"asOf", m_revision}}));
@@ -145,32 +145,33 @@
 void PlatformStoreStandin::Watch(const Exchange& exchange,
                                  const std::string& kind) {
   const uint64_t since = ToNumber(exchange->Query("watch"));
-  if (since < m_forgotten) {
+  if (since < m_compacted_revision) {
     exchange->Reply(410, {}, "{}");
     return;
   }
-  if (AnswerWatch(*exchange, kind, since, false)) {
+  if (ReplyToWatch(*exchange, kind, since, false)) {
     return;
   }
-  auto waiting = std::make_unique<Waiting>();
-  waiting->exchange = exchange;
-  waiting->kind = kind;
-  waiting->since = since;
-  Waiting* self = waiting.get();
-  waiting->timer = m_loop.After(
+  auto watch = std::make_unique<PendingWatch>();
+  watch->exchange = exchange;
+  watch->kind = kind;
+  watch->since = since;
+  PendingWatch* self = watch.get();
+  watch->timer = m_loop.After(
       Milliseconds(static_cast<int64_t>(ToNumber(exchange->Query("waitMs")))),
       [this, self] {
-        AnswerWatch(*self->exchange, self->kind, self->since, true);
-        std::erase_if(m_waiting,
-                      [self](const auto& row) { return row.get() == self; });
+        ReplyToWatch(*self->exchange, self->kind, self->since, true);
+        std::erase_if(m_pending_watches, [self](const auto& pending) {
+          return pending.get() == self;
+        });
       });
-  m_waiting.push_back(std::move(waiting));
+  m_pending_watches.push_back(std::move(watch));
 }
 
-void PlatformStoreStandin::WakeWatches() {
-  std::erase_if(m_waiting, [this](const auto& row) {
-    return !row->exchange->IsOpen() ||
-           AnswerWatch(*row->exchange, row->kind, row->since, false);
+void PlatformStoreStandin::NotifyWatches() {
+  std::erase_if(m_pending_watches, [this](const auto& watch) {
+    return !watch->exchange->IsOpen() ||
+           ReplyToWatch(*watch->exchange, watch->kind, watch->since, false);
   });
 }
 
@@ -186,9 +187,9 @@
                          {"deleting", false}}},
                        {"spec", spec},
                        {"status", nullptr}};
-  m_kinds[kind][name] = object;
+  m_objects[kind][name] = object;
   m_history.push_back({m_revision, kind, object, false});
-  WakeWatches();
+  NotifyWatches();
 }
 
 void PlatformStoreStandin::Write(HttpExchange& exchange,
@@ -202,8 +203,8 @@
   const Json& meta = body["metadata"];
   const bool creates = exchange.method() == HttpMethod::kPost;
   const std::string target = creates ? meta.value("name", "") : name;
-  const auto found = m_kinds[kind].find(target);
-  const bool exists = found != m_kinds[kind].end();
+  const auto found = m_objects[kind].find(target);
+  const bool exists = found != m_objects[kind].end();
   if (!creates && !exists) {
     exchange.Reply(404, {}, "{}");
     return;
@@ -220,7 +221,7 @@
     exchange.Abort();
     return;
   }
-  exchange.Reply(200, {}, m_kinds[kind][target].dump());
+  exchange.Reply(200, {}, m_objects[kind][target].dump());
 }
 
 void PlatformStoreStandin::Put(const std::string& kind,
@@ -231,32 +232,32 @@
 
 void PlatformStoreStandin::Remove(const std::string& kind,
                                   const std::string& name) {
-  const auto found = m_kinds[kind].find(name);
-  if (found == m_kinds[kind].end()) {
+  const auto found = m_objects[kind].find(name);
+  if (found == m_objects[kind].end()) {
     return;
   }
   ++m_revision;
   m_history.push_back({m_revision, kind, found->second, true});
-  m_kinds[kind].erase(found);
-  WakeWatches();
+  m_objects[kind].erase(found);
+  NotifyWatches();
 }
 
 Json PlatformStoreStandin::Get(const std::string& kind,
                                const std::string& name) const {
-  const auto objects = m_kinds.find(kind);
-  if (objects == m_kinds.end() || !objects->second.contains(name)) {
+  const auto objects = m_objects.find(kind);
+  if (objects == m_objects.end() || !objects->second.contains(name)) {
     return nullptr;
   }
   return objects->second.at(name)["spec"];
 }
 
 void PlatformStoreStandin::Compact() {
-  m_forgotten = ++m_revision;
+  m_compacted_revision = ++m_revision;
   m_history.clear();
-  for (const auto& waiting : m_waiting) {
-    waiting->exchange->Abort();
+  for (const auto& watch : m_pending_watches) {
+    watch->exchange->Abort();
   }
-  m_waiting.clear();
+  m_pending_watches.clear();
 }
 
 }  // namespace filbertrack
--- a/standins/platform_store_standin.h
+++ b/standins/platform_store_standin.h
@@ -58,7 +58,7 @@
   void Compact();
 
   uint64_t calls() const { return m_calls; }
-  size_t watches() const { return m_waiting.size(); }
+  size_t watches() const { return m_pending_watches.size(); }
 
  private:
   struct Event {
@@ -67,7 +67,7 @@
     nlohmann::json object;
     bool deleted;
   };
-  struct Waiting {
+  struct PendingWatch {
     std::shared_ptr<HttpExchange> exchange;
     std::string kind;
     uint64_t since;
@@ -83,11 +83,11 @@
   void Write(HttpExchange& exchange,
              const std::string& kind,
              const std::string& name);
-  bool AnswerWatch(HttpExchange& exchange,
-                   const std::string& kind,
-                   uint64_t since,
-                   bool even_empty);
-  void WakeWatches();
+  bool ReplyToWatch(HttpExchange& exchange,
+                    const std::string& kind,
+                    uint64_t since,
+                    bool reply_if_empty);
+  void NotifyWatches();
   void Store(const std::string& kind,
              const std::string& name,
              const nlohmann::json& spec);
@@ -100,10 +100,10 @@
   Address m_second_address;
   StoreStandinFaults m_faults;
   uint64_t m_revision = 1;
-  uint64_t m_forgotten = 0;
-  std::map<std::string, std::map<std::string, nlohmann::json>> m_kinds;
+  uint64_t m_compacted_revision = 0;
+  std::map<std::string, std::map<std::string, nlohmann::json>> m_objects;
   std::vector<Event> m_history;
-  std::vector<std::unique_ptr<Waiting>> m_waiting;
+  std::vector<std::unique_ptr<PendingWatch>> m_pending_watches;
   std::vector<Exchange> m_unanswered;
   uint64_t m_calls = 0;
   int m_pages = 0;
--- a/standins/standin_engine.cc
+++ b/standins/standin_engine.cc
@@ -24,7 +24,7 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kReportLag = Milliseconds(500);
+constexpr Duration kReportInterval = Milliseconds(500);
 
 struct EngineOptions {
   std::string listen = "127.0.0.1:0";
@@ -55,7 +55,7 @@
   std::unique_ptr<Timer> timer;
 };
 
-struct Watcher {
+struct Subscriber {
   std::shared_ptr<HttpExchange> exchange;
   std::unique_ptr<Timer> timer;
   std::string last_report;
@@ -77,16 +77,16 @@
     m_report.slots = options.slots;
     m_report.prefill = Milliseconds(options.prefill_ms);
     m_report.token_interval = Milliseconds(options.token_ms);
-    m_lagged = m_report;
-    m_lag_timer = loop.Every(kReportLag, [this] { PublishReport(); });
+    m_delayed_report = m_report;
+    m_report_timer = loop.Every(kReportInterval, [this] { PublishReport(); });
   }
 
   void Handle(const std::shared_ptr<HttpExchange>& exchange) {
     const std::string_view path = exchange->path();
     if (path == "/v1/beats") {
-      StartBeats(exchange);
+      StartHeartbeats(exchange);
     } else if (path == "/v1/orders") {
-      Obey(*exchange);
+      HandleOrder(*exchange);
     } else if (path == "/v1/executions") {
       exchange->Reply(200, {}, Json(m_executions).dump());
     } else if (path == "/v1/stats") {
@@ -108,50 +108,51 @@
  private:
   /// Load and cached prefixes lag; what group the engine is in does not.
   void PublishReport() {
-    m_lagged.running = static_cast<int>(m_running.size());
-    m_lagged.queued = static_cast<int>(m_queue.size());
-    m_lagged.cached_prefixes.assign(m_cache.begin(), m_cache.end());
+    m_delayed_report.running = static_cast<int>(m_running.size());
+    m_delayed_report.queued = static_cast<int>(m_queue.size());
+    m_delayed_report.cached_prefixes.assign(m_cache.begin(), m_cache.end());
   }
 
   MemberReport CurrentReport() const {
     MemberReport report = m_report;
-    report.running = m_lagged.running;
-    report.queued = m_lagged.queued;
-    report.cached_prefixes = m_lagged.cached_prefixes;
+    report.running = m_delayed_report.running;
+    report.queued = m_delayed_report.queued;
+    report.cached_prefixes = m_delayed_report.cached_prefixes;
     return report;
   }
 
-  void StartBeats(const std::shared_ptr<HttpExchange>& exchange) {
+  void StartHeartbeats(const std::shared_ptr<HttpExchange>& exchange) {
     const int64_t interval =
         std::strtoll(exchange->Query("interval_ms").c_str(), nullptr, 10);
     const uint64_t id = ++m_last_id;
-    Watcher& watcher = m_watchers[id];
-    watcher.exchange = exchange;
-    exchange->OnCallerGone([this, id] { m_watchers.erase(id); });
+    Subscriber& subscriber = m_subscribers[id];
+    subscriber.exchange = exchange;
+    exchange->OnCallerDisconnected([this, id] { m_subscribers.erase(id); });
     exchange->StartStream(200, {{"Content-Type", "application/x-ndjson"}});
-    watcher.timer = m_loop.Every(Milliseconds(std::max<int64_t>(interval, 10)),
-                                 [this, id] { Beat(m_watchers[id]); });
-    Beat(watcher);
+    subscriber.timer =
+        m_loop.Every(Milliseconds(std::max<int64_t>(interval, 10)),
+                     [this, id] { SendHeartbeat(m_subscribers[id]); });
+    SendHeartbeat(subscriber);
   }
 
-  void Beat(Watcher& watcher) const {
-    HeartbeatLine beat{MonotonicNow().time_since_epoch().count(),
-                       CurrentReport()};
-    const std::string report = FormatHeartbeatLine({0, beat.report});
-    if (report == watcher.last_report) {
-      beat.report.reset();
+  void SendHeartbeat(Subscriber& subscriber) const {
+    HeartbeatLine heartbeat{MonotonicNow().time_since_epoch().count(),
+                            CurrentReport()};
+    const std::string report = FormatHeartbeatLine({0, heartbeat.report});
+    if (report == subscriber.last_report) {
+      heartbeat.report.reset();
     }
-    watcher.last_report = report;
-    watcher.exchange->Send(FormatHeartbeatLine(beat));
+    subscriber.last_report = report;
+    subscriber.exchange->Send(FormatHeartbeatLine(heartbeat));
   }
 
-  void BeatAll() {
-    for (auto& [id, watcher] : m_watchers) {
-      Beat(watcher);
+  void SendHeartbeats() {
+    for (auto& [id, subscriber] : m_subscribers) {
+      SendHeartbeat(subscriber);
     }
   }
 
-  void Obey(HttpExchange& exchange) {
+  void HandleOrder(HttpExchange& exchange) {
     const Json order = Json::parse(exchange.body(), nullptr, false);
     if (!order.is_object()) {
       exchange.Reply(400, {}, "{}");
@@ -176,7 +177,7 @@
       Load(order.value("model_version", ""));
     }
     exchange.Reply(200, {}, "{}");
-    BeatAll();
+    SendHeartbeats();
   }
 
   void Load(const std::string& version) {
@@ -194,7 +195,7 @@
     m_report.model_version.clear();
     if (m_options.weights.empty()) {
       m_load_timer = m_loop.After(Milliseconds(m_options.load_ms),
-                                  [this, version] { Loaded(version); });
+                                  [this, version] { OnLoaded(version); });
       return;
     }
     Fetch(version);
@@ -217,7 +218,7 @@
     events.on_end = [this, version](int status) {
       if (status == 200) {
         m_load_timer = m_loop.After(Milliseconds(m_options.load_ms),
-                                    [this, version] { Loaded(version); });
+                                    [this, version] { OnLoaded(version); });
       } else {
         RetryFetch(version);
       }
@@ -234,10 +235,10 @@
                      [this, version] { Fetch(version); });
   }
 
-  void Loaded(const std::string& version) {
+  void OnLoaded(const std::string& version) {
     m_report.model_version = version;
     m_report.phase = MemberPhase::kReady;
-    BeatAll();
+    SendHeartbeats();
   }
 
   void RunPlain(const std::shared_ptr<HttpExchange>& exchange) {
@@ -281,7 +282,7 @@
     generation.next = body.value("resume_from", 0);
     generation.count = body.value("max_tokens", 16);
     RecordExecution(generation.request_id, generation.prompt_hash);
-    exchange->OnCallerGone([this, id] {
+    exchange->OnCallerDisconnected([this, id] {
       ++m_cancelled;
       Finish(id);
     });
@@ -311,7 +312,8 @@
       const bool cached = TouchPrefix(generation.prefix_hash);
       const Duration prefill =
           Milliseconds(m_options.prefill_ms) / (cached ? 10 : 1);
-      generation.timer = m_loop.After(prefill, [this, id] { Begin(id); });
+      generation.timer =
+          m_loop.After(prefill, [this, id] { StartGeneration(id); });
     }
   }
 
@@ -333,7 +335,7 @@
     return cached;
   }
 
-  HttpHeaders AnswerHeaders(const Generation& generation) const {
+  HttpHeaders ResponseHeaders(const Generation& generation) const {
     return {
         {"Content-Type",
          generation.stream ? "text/event-stream" : "application/json"},
@@ -344,18 +346,19 @@
                                            m_report.slots, m_report.prefill})}};
   }
 
-  void Begin(uint64_t id) {
+  void StartGeneration(uint64_t id) {
     Generation& generation = m_generations[id];
     if (generation.stream) {
-      generation.exchange->StartStream(200, AnswerHeaders(generation));
+      generation.exchange->StartStream(200, ResponseHeaders(generation));
     }
     const Duration interval =
         std::max(Duration(100), Duration(Milliseconds(m_options.token_ms)));
-    generation.timer = m_loop.Every(interval, [this, id] { Step(id); });
-    Step(id);
+    generation.timer =
+        m_loop.Every(interval, [this, id] { GenerateToken(id); });
+    GenerateToken(id);
   }
 
-  void Step(uint64_t id) {
+  void GenerateToken(uint64_t id) {
     Generation& generation = m_generations[id];
     if (generation.next >= generation.count) {
       End(generation);
@@ -388,7 +391,7 @@
            {"finish_reason", "length"},
            {"message",
             {{"role", "assistant"}, {"content", generation.text}}}}}}};
-    generation.exchange->Reply(200, AnswerHeaders(generation), answer.dump());
+    generation.exchange->Reply(200, ResponseHeaders(generation), answer.dump());
   }
 
   void Finish(uint64_t id) {
@@ -409,12 +412,12 @@
   HttpClient m_http;
   std::mt19937_64 m_random;
   MemberReport m_report;
-  MemberReport m_lagged;
-  std::unique_ptr<Timer> m_lag_timer;
+  MemberReport m_delayed_report;
+  std::unique_ptr<Timer> m_report_timer;
   std::unique_ptr<Timer> m_load_timer;
   std::unique_ptr<HttpCall> m_load_call;
   int m_retry_after = 1;
-  std::map<uint64_t, Watcher> m_watchers;
+  std::map<uint64_t, Subscriber> m_subscribers;
   std::map<uint64_t, Generation> m_generations;
   std::deque<uint64_t> m_queue;
   std::set<uint64_t> m_running;
--- a/standins/standin_store.cc
+++ b/standins/standin_store.cc
@@ -32,7 +32,7 @@
   int lost_answers = 0;
 };
 
-struct Waiter {
+struct PendingWatch {
   uint64_t id;
   std::shared_ptr<HttpExchange> exchange;
   std::string prefix;
@@ -122,7 +122,7 @@
           200, {},
           Json({{"key", key}, {"value", ""}, {"version", m_revision}}).dump());
     }
-    AnswerWaiters();
+    NotifyWatches();
   }
 
   void Watch(const std::shared_ptr<HttpExchange>& exchange) {
@@ -132,47 +132,48 @@
         std::strtoull(exchange->Query("since").c_str(), nullptr, 10);
     const Json objects = ChangedSince(prefix, since);
     if (!objects.empty() || since == 0) {
-      AnswerWatch(*exchange, objects);
+      ReplyToWatch(*exchange, objects);
       return;
     }
     const Duration wait = std::min<Duration>(
         Milliseconds(
             std::strtoll(exchange->Query("wait_ms").c_str(), nullptr, 10)),
         kMaxWait);
-    const uint64_t id = ++m_last_waiter;
+    const uint64_t id = ++m_last_watch_id;
     std::shared_ptr<Timer> timer =
-        m_loop.After(wait, [this, id] { RemoveWaiter(id, true); });
-    exchange->OnCallerGone([this, id] { RemoveWaiter(id, false); });
-    m_waiters.push_back({id, exchange, prefix, since, timer});
+        m_loop.After(wait, [this, id] { RemoveWatch(id, true); });
+    exchange->OnCallerDisconnected([this, id] { RemoveWatch(id, false); });
+    m_pending_watches.push_back({id, exchange, prefix, since, timer});
   }
 
-  void RemoveWaiter(uint64_t id, bool answer) {
-    for (auto waiter = m_waiters.begin(); waiter != m_waiters.end(); ++waiter) {
-      if (waiter->id == id) {
-        const Waiter ended = *waiter;
-        m_waiters.erase(waiter);
+  void RemoveWatch(uint64_t id, bool answer) {
+    for (auto watch = m_pending_watches.begin();
+         watch != m_pending_watches.end(); ++watch) {
+      if (watch->id == id) {
+        const PendingWatch removed = *watch;
+        m_pending_watches.erase(watch);
         if (answer) {
-          AnswerWatch(*ended.exchange, Json::array());
+          ReplyToWatch(*removed.exchange, Json::array());
         }
         return;
       }
     }
   }
 
-  void AnswerWaiters() {
-    std::deque<Waiter> waiting;
-    waiting.swap(m_waiters);
-    for (Waiter& waiter : waiting) {
-      const Json objects = ChangedSince(waiter.prefix, waiter.since);
+  void NotifyWatches() {
+    std::deque<PendingWatch> pending;
+    pending.swap(m_pending_watches);
+    for (PendingWatch& watch : pending) {
+      const Json objects = ChangedSince(watch.prefix, watch.since);
       if (objects.empty()) {
-        m_waiters.push_back(std::move(waiter));
+        m_pending_watches.push_back(std::move(watch));
       } else {
-        AnswerWatch(*waiter.exchange, objects);
+        ReplyToWatch(*watch.exchange, objects);
       }
     }
   }
 
-  void AnswerWatch(HttpExchange& exchange, const Json& objects) const {
+  void ReplyToWatch(HttpExchange& exchange, const Json& objects) const {
     exchange.Reply(
         200, {}, Json({{"revision", m_revision}, {"objects", objects}}).dump());
   }
@@ -204,10 +205,10 @@
     m_faults.delay = Milliseconds(order.value("delay_ms", 0));
     m_faults.lost_answers = order.value("lost_answers", 0);
     if (m_faults.down) {
-      std::deque<Waiter> waiting;
-      waiting.swap(m_waiters);
-      for (const Waiter& waiter : waiting) {
-        waiter.exchange->Abort();
+      std::deque<PendingWatch> pending;
+      pending.swap(m_pending_watches);
+      for (const PendingWatch& watch : pending) {
+        watch.exchange->Abort();
       }
     }
     exchange.Reply(200, {}, "{}");
@@ -217,10 +218,10 @@
   StoreFaults m_faults;
   std::map<std::string, StoreEntry> m_entries;
   std::map<uint64_t, std::string> m_changes;
-  std::deque<Waiter> m_waiters;
+  std::deque<PendingWatch> m_pending_watches;
   std::map<std::string, uint64_t> m_calls;
   uint64_t m_revision = 0;
-  uint64_t m_last_waiter = 0;
+  uint64_t m_last_watch_id = 0;
 };
 
 }  // namespace
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -50,10 +50,10 @@
     RC_ASSERT(Decompress(Compress(text), text.size()) == text);
   }));
   const std::string large(100000, 'x');
-  const std::string packed = Compress(large);
-  CHECK(packed.size() < 1000);
-  CHECK_FALSE(Decompress(packed, 99999));
-  CHECK_FALSE(Decompress(packed.substr(0, packed.size() / 2), 1000000));
+  const std::string compressed = Compress(large);
+  CHECK(compressed.size() < 1000);
+  CHECK_FALSE(Decompress(compressed, 99999));
+  CHECK_FALSE(Decompress(compressed.substr(0, compressed.size() / 2), 1000000));
   CHECK_FALSE(Decompress("no compressed text", 1000));
 }
 
--- a/tests/entry_outbox_test.cc
+++ b/tests/entry_outbox_test.cc
@@ -17,8 +17,8 @@
     const auto batch = outbox.TakeBatch();
     REQUIRE_FALSE(batch.empty());
     REQUIRE(batch.size() <= EntryOutbox::kMaxInBatch);
-    for (const WaitingOrder& waiting : batch) {
-      REQUIRE(waiting.host == "h" + std::to_string(sent));
+    for (const QueuedOrder& queued : batch) {
+      REQUIRE(queued.host == "h" + std::to_string(sent));
       ++sent;
     }
   }
--- a/tests/entry_poison_test.cc
+++ b/tests/entry_poison_test.cc
@@ -209,7 +209,7 @@
 
 TEST_CASE("blocks are persisted, and an operator removes them there") {
   EventLoop loop;
-  CountedRecords records;
+  InMemoryRecordStore records;
   const PoisonRecordPolicy policy{3, Milliseconds(20), Milliseconds(10),
                                   Milliseconds(30)};
   const std::string name = "poison-requests";
