--- a/tests/entry_prober_test.cc
+++ b/tests/entry_prober_test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// A host that is asked and time that the test moves.
-class Asked : public EngineClient {
+class ProbedHost : public EngineClient {
  public:
-  Asked()
+  ProbedHost()
       : prober(
             *this,
             {},
@@ -38,10 +38,10 @@
   void Probe(const BackendServer&,
              Duration timeout,
              std::function<void(const ProbeAnswer&)> done) override {
-    ++questions;
-    const bool answers = !m_lost.empty() && !m_lost.front();
-    if (!m_lost.empty()) {
-      m_lost.pop_front();
+    ++probes;
+    const bool answers = !m_losses.empty() && !m_losses.front();
+    if (!m_losses.empty()) {
+      m_losses.pop_front();
     }
     ProbeAnswer answer;
     answer.answered = answers;
@@ -50,7 +50,7 @@
   }
 
   /// Which of the next questions are lost; those after them are, too.
-  void Lose(std::deque<bool> lost) { m_lost = std::move(lost); }
+  void Lose(std::deque<bool> lost) { m_losses = std::move(lost); }
 
   void RunFor(Duration time) {
     const TimePoint end = m_now + time;
@@ -68,7 +68,7 @@
   }
 
   EntryProber prober;
-  int questions = 0;
+  int probes = 0;
 
  private:
   void At(TimePoint at, std::function<void()> action) {
@@ -85,7 +85,7 @@
 
   TimePoint m_now{Seconds(100)};
   std::multimap<TimePoint, std::function<void()>> m_actions;
-  std::deque<bool> m_lost;
+  std::deque<bool> m_losses;
   std::unique_ptr<Catalog> m_catalog;
   ServerDirectory m_directory{DirectoryPolicy{}};
 };
@@ -93,57 +93,57 @@
 TEST_CASE("a silent host is found within the patience of one round") {
   // Callers of a group wait until its lost member is noticed. Both questions
   // are under way at once, so that takes 0.4 s after the first was asked.
-  Asked asked;
-  asked.RunFor(Milliseconds(390));
-  CHECK(asked.health() == HostHealth::kAnswers);
-  CHECK(asked.questions == 2);
-  asked.RunFor(Milliseconds(30));
-  CHECK(asked.health() == HostHealth::kSilent);
-  CHECK(asked.prober.probe_results().at("h").health == HostHealth::kSilent);
+  ProbedHost host;
+  host.RunFor(Milliseconds(390));
+  CHECK(host.health() == HostHealth::kAnswers);
+  CHECK(host.probes == 2);
+  host.RunFor(Milliseconds(30));
+  CHECK(host.health() == HostHealth::kSilent);
+  CHECK(host.prober.probe_results().at("h").health == HostHealth::kSilent);
 }
 
 TEST_CASE("one lost question does not make a host silent") {
   // The host lives and a packet was lost. Were it given up, its group would be
   // taken apart and every stream there would break.
-  Asked asked;
-  asked.Lose({true, false});
-  asked.RunFor(Milliseconds(450));
-  CHECK(asked.questions == 2);
-  CHECK(asked.health() == HostHealth::kAnswers);
+  ProbedHost host;
+  host.Lose({true, false});
+  host.RunFor(Milliseconds(450));
+  CHECK(host.probes == 2);
+  CHECK(host.health() == HostHealth::kAnswers);
 }
 
 TEST_CASE("a host that answers is asked once a round") {
-  Asked asked;
-  asked.Lose({false, false, false});
-  asked.RunFor(Milliseconds(990));
-  CHECK(asked.questions == 2);
-  CHECK(asked.health() == HostHealth::kAnswers);
+  ProbedHost host;
+  host.Lose({false, false, false});
+  host.RunFor(Milliseconds(990));
+  CHECK(host.probes == 2);
+  CHECK(host.health() == HostHealth::kAnswers);
 }
 
 TEST_CASE("a host that was silent and answers again is heard") {
-  Asked asked;
-  asked.Lose({true, true, false});
-  asked.RunFor(Milliseconds(450));
-  CHECK(asked.health() == HostHealth::kSilent);
-  asked.RunFor(Milliseconds(100));
-  CHECK(asked.health() == HostHealth::kAnswers);
+  ProbedHost host;
+  host.Lose({true, true, false});
+  host.RunFor(Milliseconds(450));
+  CHECK(host.health() == HostHealth::kSilent);
+  host.RunFor(Milliseconds(100));
+  CHECK(host.health() == HostHealth::kAnswers);
 }
 
 TEST_CASE("answers to questions of an earlier lease do not count") {
-  Asked asked;
-  asked.RunFor(Milliseconds(200));
-  asked.prober.Clear();
-  asked.RunFor(Milliseconds(250));
-  CHECK(asked.health() == HostHealth::kAnswers);
+  ProbedHost host;
+  host.RunFor(Milliseconds(200));
+  host.prober.Clear();
+  host.RunFor(Milliseconds(250));
+  CHECK(host.health() == HostHealth::kAnswers);
 }
 
 /// Forty hosts, some of which do not answer, asked by a prober whose own link
 /// may stand still.
-class AskedFleet : public EngineClient {
+class ProbedFleet : public EngineClient {
  public:
   static constexpr int kHosts = 40;
 
-  AskedFleet()
+  ProbedFleet()
       : prober(
             *this,
             {},
@@ -171,11 +171,11 @@
   void Probe(const BackendServer& host,
              Duration timeout,
              std::function<void(const ProbeAnswer&)> done) override {
-    ++questions;
-    m_link_free = std::max(m_link_free, m_now) + a_question_takes;
-    const Duration wait = m_link_free - m_now;
+    ++probes;
+    m_link_free_at = std::max(m_link_free_at, m_now) + transfer_time;
+    const Duration wait = m_link_free_at - m_now;
     const bool answers =
-        !link_stands && !dead.contains(host.id) && wait < timeout;
+        !link_blocked && !dead.contains(host.id) && wait < timeout;
     ProbeAnswer answer;
     answer.answered = answers;
     m_actions.emplace(
@@ -205,14 +205,14 @@
   EntryProber prober;
   ServerDirectory directory{DirectoryPolicy{}};
   std::set<std::string> dead;
-  bool link_stands = false;
+  bool link_blocked = false;
   /// On the prober's link.
-  Duration a_question_takes{0};
-  int questions = 0;
+  Duration transfer_time{0};
+  int probes = 0;
 
  private:
   TimePoint m_now{Seconds(100)};
-  TimePoint m_link_free{};
+  TimePoint m_link_free_at{};
   std::multimap<TimePoint, std::function<void()>> m_actions;
   std::unique_ptr<Catalog> m_catalog;
 };
@@ -221,44 +221,44 @@
     "a weak host that stands in as prober asks less often and still finds") {
   // Forty hosts twice a second are more questions than its link carries. It
   // declares nobody silent that lives, and finds the one that is lost.
-  AskedFleet fleet;
-  fleet.a_question_takes = Milliseconds(20);
+  ProbedFleet fleet;
+  fleet.transfer_time = Milliseconds(20);
   fleet.RunFor(Seconds(8));
   CHECK(fleet.CountSilent() == 0);
   fleet.dead.insert("h105");
   fleet.RunFor(Seconds(5));
   CHECK(fleet.CountSilent() == 1);
   // Once there is room it asks as often as any other.
-  fleet.a_question_takes = Duration(0);
+  fleet.transfer_time = Duration(0);
   fleet.RunFor(Seconds(40));
-  fleet.questions = 0;
+  fleet.probes = 0;
   fleet.RunFor(Seconds(2));
-  CHECK(fleet.questions >= 4 * AskedFleet::kHosts);
+  CHECK(fleet.probes >= 4 * ProbedFleet::kHosts);
 }
 
 TEST_CASE("a prober that hears nobody declares nobody silent") {
   // Its own link is full for two seconds. Were all hosts declared silent, the
   // planner would close every group, and callers of the whole fleet would be
   // turned away.
-  AskedFleet fleet;
+  ProbedFleet fleet;
   fleet.RunFor(Seconds(2));
-  fleet.link_stands = true;
+  fleet.link_blocked = true;
   fleet.RunFor(Seconds(2));
   CHECK(fleet.CountSilent() == 0);
-  fleet.link_stands = false;
+  fleet.link_blocked = false;
   fleet.RunFor(Seconds(1));
   CHECK(fleet.CountSilent() == 0);
 }
 
 TEST_CASE("a third of the fleet lost at once is found within a round") {
   // As soon as with one host lost: 0.4 s after the next question.
-  AskedFleet fleet;
+  ProbedFleet fleet;
   fleet.RunFor(Seconds(2));
-  for (int i = 0; i < AskedFleet::kHosts / 3; ++i) {
+  for (int i = 0; i < ProbedFleet::kHosts / 3; ++i) {
     fleet.dead.insert("h" + std::to_string(100 + i));
   }
   fleet.RunFor(Milliseconds(920));
-  CHECK(fleet.CountSilent() == AskedFleet::kHosts / 3);
+  CHECK(fleet.CountSilent() == ProbedFleet::kHosts / 3);
   // Half of what is left goes too: those that are silent already do not make
   // the prober doubt itself.
   for (int i = 0; i < 26; ++i) {
--- a/tests/entry_roster_test.cc
+++ b/tests/entry_roster_test.cc
@@ -9,8 +9,10 @@
 namespace filbertrack {
 namespace {
 
-struct Started {
-  Started(EventLoop& loop, CountedRecords& records, const std::string& name)
+struct StartedRoster {
+  StartedRoster(EventLoop& loop,
+                InMemoryRecordStore& records,
+                const std::string& name)
       : roster(loop,
                {name, "dc", 7},
                {"127.0.0.1", 4},
@@ -18,40 +20,40 @@
                records,
                {[](const std::string&) {},
                 [this](const FleetHost& host, const std::string& address) {
-                  heard[host.name] = {host, address};
+                  hosts[host.name] = {host, address};
                 },
                 [this] { ++listings; }}) {
     roster.Start(MonotonicNow());
   }
 
   int listings = 0;
-  std::map<std::string, std::pair<FleetHost, std::string>> heard;
+  std::map<std::string, std::pair<FleetHost, std::string>> hosts;
   EntryRoster roster;
 };
 
 TEST_CASE("a host writes its record once, and none when it starts again") {
   // All hosts of a fleet lose power and start at the addresses that they had.
   EventLoop loop;
-  CountedRecords records;
-  const Started first(loop, records, "a");
+  InMemoryRecordStore records;
+  const StartedRoster first(loop, records, "a");
   // The peers' secret, and the record.
   CHECK(records.writes == 2);
-  const Started second(loop, records, "b");
+  const StartedRoster second(loop, records, "b");
   CHECK(records.writes == 3);
-  REQUIRE(second.heard.contains("a"));
-  CHECK(second.heard.at("a").first.data_centre == "dc");
-  CHECK(second.heard.at("a").first.capacity == 7);
-  CHECK(second.heard.at("a").second == "127.0.0.1:4");
-  const Started again(loop, records, "a");
+  REQUIRE(second.hosts.contains("a"));
+  CHECK(second.hosts.at("a").first.data_centre == "dc");
+  CHECK(second.hosts.at("a").first.capacity == 7);
+  CHECK(second.hosts.at("a").second == "127.0.0.1:4");
+  const StartedRoster again(loop, records, "a");
   CHECK(records.writes == 3);
 }
 
 TEST_CASE("a record of an earlier address is replaced") {
   EventLoop loop;
-  CountedRecords records;
-  const Started first(loop, records, "a");
+  InMemoryRecordStore records;
+  const StartedRoster first(loop, records, "a");
   records.records["entry-host-a"].value = "127.0.0.9:9 dc 7";
-  const Started again(loop, records, "a");
+  const StartedRoster again(loop, records, "a");
   CHECK(records.records["entry-host-a"].value == "127.0.0.1:4 dc 7");
 }
 
--- a/tests/entry_test.cc
+++ b/tests/entry_test.cc
@@ -13,13 +13,13 @@
 class FakeRecords : public RecordStore {
  public:
   void Read(const std::string&,
-            std::function<void(StoreAnswer)> done) override {
+            std::function<void(StoreResponse)> done) override {
     m_calls.push_back([this, done] { done(Current()); });
   }
   void Write(const std::string&,
              const std::string& value,
              uint64_t expected_version,
-             std::function<void(StoreAnswer)> done) override {
+             std::function<void(StoreResponse)> done) override {
     m_calls.push_back([this, value, expected_version, done] {
       done(Apply(value, expected_version));
     });
@@ -55,15 +55,15 @@
   uint64_t version() const { return m_version; }
 
  private:
-  StoreAnswer Current() const {
+  StoreResponse Current() const {
     if (m_version == 0) {
       return {StoreStatus::kNotFound, {}};
     }
     return {StoreStatus::kOk, {"groups-lease", m_value, m_version}};
   }
-  StoreAnswer Apply(const std::string& value, uint64_t expected_version) {
+  StoreResponse Apply(const std::string& value, uint64_t expected_version) {
     if (expected_version != m_version) {
-      StoreAnswer answer = Current();
+      StoreResponse answer = Current();
       answer.status = StoreStatus::kConflict;
       return answer;
     }
@@ -202,7 +202,7 @@
   FakeRecords records;
   Claimant first("a", records);
   AcquireLease(first);
-  first.lease.GiveBack();
+  first.lease.Release();
   records.AnswerAll();
   Claimant second("b", records);
   second.now = first.now;
--- a/tests/explain_test.cc
+++ b/tests/explain_test.cc
@@ -11,7 +11,7 @@
 namespace filbertrack {
 namespace {
 
-constexpr const char* kTrail = R"(
+constexpr const char* kLogLines = R"(
  3.1 e1 {"event":"placed","node":"e1","time_ms":1000,"at_us":1,"request":"r1","target":"h1","predicted_ms":180,"own":1,"others":8,"send":1}
 {"event":"host-health","node":"e9","time_ms":1900,"at_us":7,"host":"h7","health":"silent"}
 {"event":"order","node":"e9","time_ms":1901,"at_us":8,"order":"close","group":"m/1","head":"h1","why":"a member is missing, leaving or silent"}
@@ -34,8 +34,8 @@
 {"no event":1}
 )";
 
-std::vector<RequestLogLine> Trail() {
-  std::istringstream stream(kTrail);
+std::vector<RequestLogLine> ReadLogLines() {
+  std::istringstream stream(kLogLines);
   return ReadRequestLog(stream);
 }
 
@@ -44,73 +44,76 @@
 }
 
 TEST_CASE("lines are read whatever stands before them") {
-  const auto trail = Trail();
-  REQUIRE(trail.size() == 18);
-  CHECK(trail[0].node == "e1");
-  CHECK(trail[0].fields["target"] == "h1");
+  const auto log_lines = ReadLogLines();
+  REQUIRE(log_lines.size() == 18);
+  CHECK(log_lines[0].node == "e1");
+  CHECK(log_lines[0].fields["target"] == "h1");
 }
 
 TEST_CASE("a stream that was taken up: in order, with the loss behind it") {
   // The caller complains of a gap. Its group lost a member, which the host that
   // gives orders noticed; the lines of three hosts tell it.
-  const auto trail = Trail();
-  const Explanation told = ExplainRequest(trail, "r1");
-  REQUIRE(told.lines.size() == 4);
-  CHECK(told.lines[1].event == "attempt-ended");
-  CHECK(told.lines[3].event == "request");
-  CHECK(Contains(told.cause, "h1: its group lost a member after 902 ms"));
-  CHECK(Contains(told.cause, "The group of h1 was closed by e9"));
-  CHECK(told.context.size() == 2);
+  const auto log_lines = ReadLogLines();
+  const Explanation explanation = ExplainRequest(log_lines, "r1");
+  REQUIRE(explanation.lines.size() == 4);
+  CHECK(explanation.lines[1].event == "attempt-ended");
+  CHECK(explanation.lines[3].event == "request");
+  CHECK(
+      Contains(explanation.cause, "h1: its group lost a member after 902 ms"));
+  CHECK(Contains(explanation.cause, "The group of h1 was closed by e9"));
+  CHECK(explanation.context.size() == 2);
 }
 
 TEST_CASE("a refusal tells what the fleet had at that time") {
-  const auto trail = Trail();
-  const Explanation told = ExplainRequest(trail, "r2");
-  CHECK(Contains(told.cause, "come back after 250 ms"));
-  CHECK(Contains(told.cause, "500 ms before, e9 counted"));
-  CHECK(Contains(told.cause, "7 loading and 2 held"));
+  const auto log_lines = ReadLogLines();
+  const Explanation explanation = ExplainRequest(log_lines, "r2");
+  CHECK(Contains(explanation.cause, "come back after 250 ms"));
+  CHECK(Contains(explanation.cause, "500 ms before, e9 counted"));
+  CHECK(Contains(explanation.cause, "7 loading and 2 held"));
 }
 
 TEST_CASE("a request that may have run is not called not run") {
   // Its first attempt broke, and no retry was left in the budget.
-  const auto trail = Trail();
-  CHECK(Contains(ExplainRequest(trail, "r2").cause, "Refused as not run"));
-  const Explanation told = ExplainRequest(trail, "r6");
-  CHECK(Contains(told.cause, "outcome unknown"));
-  CHECK_FALSE(Contains(told.cause, "not run"));
+  const auto log_lines = ReadLogLines();
+  CHECK(Contains(ExplainRequest(log_lines, "r2").cause, "Refused as not run"));
+  const Explanation explanation = ExplainRequest(log_lines, "r6");
+  CHECK(Contains(explanation.cause, "outcome unknown"));
+  CHECK_FALSE(Contains(explanation.cause, "not run"));
 }
 
 TEST_CASE("a copy of a request that ends servers: from it to the ends") {
   // The copy itself was sent nowhere. Others with the same digest were at the
   // servers that ended, at other hosts.
-  const auto trail = Trail();
-  const Explanation told = ExplainRequest(trail, "r7");
-  CHECK(Contains(told.cause, "Refused as not run: servers end"));
-  CHECK(Contains(told.cause, "e3 laid 3 ends to it: [\"h5\",\"h6\",\"h8\"]"));
-  CHECK(Contains(told.cause, "e1 had a copy at h5"));
-  CHECK(Contains(told.cause, "e2 had a copy at h6"));
-  CHECK_FALSE(Contains(told.cause, "h9"));
+  const auto log_lines = ReadLogLines();
+  const Explanation explanation = ExplainRequest(log_lines, "r7");
+  CHECK(Contains(explanation.cause, "Refused as not run: servers end"));
+  CHECK(Contains(explanation.cause,
+                 "e3 laid 3 ends to it: [\"h5\",\"h6\",\"h8\"]"));
+  CHECK(Contains(explanation.cause, "e1 had a copy at h5"));
+  CHECK(Contains(explanation.cause, "e2 had a copy at h6"));
+  CHECK_FALSE(Contains(explanation.cause, "h9"));
 }
 
 TEST_CASE("a late answer tells what was predicted and why") {
-  const auto trail = Trail();
-  const Explanation told = ExplainRequest(trail, "r3");
-  CHECK(Contains(told.cause, "after 700 ms"));
-  CHECK(Contains(told.cause, "200 ms were predicted"));
-  CHECK(Contains(told.cause, "14 requests at the target"));
+  const auto log_lines = ReadLogLines();
+  const Explanation explanation = ExplainRequest(log_lines, "r3");
+  CHECK(Contains(explanation.cause, "after 700 ms"));
+  CHECK(Contains(explanation.cause, "200 ms were predicted"));
+  CHECK(Contains(explanation.cause, "14 requests at the target"));
 }
 
 TEST_CASE("what was refused before it was placed names the configuration") {
-  const auto trail = Trail();
-  CHECK(Contains(ExplainRequest(trail, "r4").cause, "configuration was 12"));
-  const Explanation none = ExplainRequest(trail, "r5");
+  const auto log_lines = ReadLogLines();
+  CHECK(
+      Contains(ExplainRequest(log_lines, "r4").cause, "configuration was 12"));
+  const Explanation none = ExplainRequest(log_lines, "r5");
   CHECK(none.lines.empty());
   CHECK(none.context.empty());
   CHECK(Contains(none.cause, "No line names this request"));
 }
 
 /// Seven requests of callers of one route, and one without a right.
-constexpr const char* kLosses = R"(
+constexpr const char* kLossLogLines = R"(
 {"event":"request","node":"e1","time_ms":1000,"request":"a","route":"r","model":"m","code":0,"status":200,"sends":1,"aim_ms":300,"first_ms":200,"left_ms":6000,"pause_ms":90,"pause_aim_ms":200}
 {"event":"placed","node":"e1","time_ms":1000,"request":"b","predicted_ms":180,"loads_age_ms":70}
 {"event":"request","node":"e1","time_ms":1100,"request":"b","route":"r","model":"m","code":0,"status":200,"sends":1,"aim_ms":300,"first_ms":900,"left_ms":6000}
@@ -127,10 +130,11 @@
   // One is answered on time, also one of a caller that was turned away before;
   // one is late; three are turned away. One stream fell silent and went on
   // elsewhere after a long pause.
-  std::istringstream stream(kLosses);
-  const auto trail = ReadRequestLog(stream);
-  const LossAccount account = AccountLosses(trail, AccountPolicy{0.25, 2000});
-  CHECK(account.asked == 7);
+  std::istringstream stream(kLossLogLines);
+  const auto log_lines = ReadRequestLog(stream);
+  const LossReport account =
+      AttributeLosses(log_lines, LossReportPolicy{0.25, 2000});
+  CHECK(account.total_requests == 7);
   CHECK(account.on_time == 2);
   CHECK(account.lost == doctest::Approx(0.75 + 3 + 0.75));
   std::map<std::string, double> by_cause;
@@ -142,12 +146,13 @@
   CHECK(by_cause["refused or ended: overloaded"] == 2);
   CHECK(by_cause["refused or ended: may-be-behind"] == 1);
   // The last one came in another window.
-  CHECK(std::any_of(account.rows.begin(), account.rows.end(),
-                    [](const LossRow& row) { return row.window_ms == 2000; }));
+  CHECK(std::any_of(
+      account.rows.begin(), account.rows.end(),
+      [](const LossRow& row) { return row.window_start_ms == 2000; }));
 }
 
 TEST_CASE("a refusal because servers asked for less names no prediction") {
-  const std::string cause = ExplainRequest(Trail(), "r8").cause;
+  const std::string cause = ExplainRequest(ReadLogLines(), "r8").cause;
   CHECK(Contains(cause, "Refused as not run"));
   CHECK(Contains(cause, "asked for fewer requests or none"));
   CHECK(Contains(cause, "come back after 700 ms"));
--- a/tests/fuzz/fuzz_untrusted.cc
+++ b/tests/fuzz/fuzz_untrusted.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-void ReadAsPlatformJson(const nlohmann::json& value) {
+void DecodePlatformJson(const nlohmann::json& value) {
   (void)platform::DecodeServer("i-1", value);
   (void)platform::DecodeCatalog(value);
   (void)platform::DecodeReport(value);
@@ -24,7 +24,7 @@
 void FuzzUntrusted(std::string_view bytes) {
   const auto json = nlohmann::json::parse(bytes, nullptr, false);
   if (!json.is_discarded()) {
-    ReadAsPlatformJson(json);
+    DecodePlatformJson(json);
   }
   const platform::PlatformDecoder decoder;
   (void)decoder.ReadServer("i-1", bytes);
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// A run in which all statements hold.
-History GoodRun() {
+History ValidRun() {
   History history;
   history.members = {{"h2", true, 10'000'000}, {"h2", false, 30'000'000}};
   history.groups = {{"d", {{"h1", "h2"}, {"h3", "h4"}}, 1'000'000}};
@@ -20,8 +20,8 @@
                         {"r2", "w2", "h3", 5'000'000},
                         {"r3", "w2", "h3", 6'000'000},
                         {"r5", "w5", "portal", 6'000'000}};
-  history.callers = {{"r1", "w1", false, CallerResult::kWhole, 11'000'000},
-                     {"r2", "w2", true, CallerResult::kWhole, 25'000'000},
+  history.callers = {{"r1", "w1", false, CallerResult::kComplete, 11'000'000},
+                     {"r2", "w2", true, CallerResult::kComplete, 25'000'000},
                      {"r4", "w4", false, CallerResult::kNotRun, 7'000'000},
                      {"r5", "w5", false, CallerResult::kUnknown, 7'000'000}};
   history.leaves = {{"portal", 2'000'000}};
@@ -32,52 +32,52 @@
 }
 
 /// What was broken in the run, and the statement that it breaks.
-struct BrokenVariant {
-  Statement statement;
-  std::function<void(History&)> breaks;
+struct ViolatingChange {
+  Invariant invariant;
+  std::function<void(History&)> apply;
 };
 
 TEST_CASE("a good run has no violation") {
-  CHECK(CheckHistory(GoodRun(), HistoryBounds()).empty());
+  CHECK(CheckHistory(ValidRun(), HistoryBounds()).empty());
 }
 
 TEST_CASE("each statement's broken variant is caught, and only as that") {
   // Without this a checker that finds nothing would look like a system without
   // faults. Each variant is one event that the statement forbids.
-  const std::vector<BrokenVariant> variants = {
-      {Statement::kWholeGroups,
+  const std::vector<ViolatingChange> variants = {
+      {Invariant::kNoIncompleteGroupAnswers,
        [](History& run) { run.forwards[0].last = 11'100'000; }},
-      {Statement::kOneGroupPerHost,
+      {Invariant::kOneGroupPerHost,
        [](History& run) { run.groups[0].groups[1][0] = "h1"; }},
-      {Statement::kOwnWholeAnswer,
+      {Invariant::kCorrectAnswers,
        [](History& run) { run.callers[1].result = CallerResult::kWrong; }},
-      {Statement::kNotRunIsTrue,
+      {Invariant::kNotRunIsAccurate,
        [](History& run) {
          run.executions.push_back({"r4", "w4", "h1", 6'500'000});
        }},
-      {Statement::kAtMostOnce,
+      {Invariant::kAtMostOnce,
        [](History& run) {
          run.executions.push_back({"r9", "w1", "h3", 6'500'000});
        }},
-      {Statement::kLeavingGetsNoWork,
+      {Invariant::kNoWorkWhenLeaving,
        [](History& run) { run.executions[3].at = 7'500'000; }},
-      {Statement::kPlannedStopCutsNothing,
-       [](History& run) { run.stopped[0].whole = false; }},
-      {Statement::kConfigInForceAndKept,
+      {Invariant::kGracefulStop,
+       [](History& run) { run.stopped[0].completed = false; }},
+      {Invariant::kConfigPropagation,
        [](History& run) {
          run.configs.push_back({"eh", 1, 9'500'000});
        }},
-      {Statement::kConfigInForceAndKept,
+      {Invariant::kConfigPropagation,
        [](History& run) { run.configs[2].at = 12'500'000; }},
   };
-  for (const BrokenVariant& variant : variants) {
-    History run = GoodRun();
-    variant.breaks(run);
+  for (const ViolatingChange& variant : variants) {
+    History run = ValidRun();
+    variant.apply(run);
     const std::vector<Violation> violations =
         CheckHistory(run, HistoryBounds());
     REQUIRE(violations.size() == 1);
-    CHECK(violations[0].statement == variant.statement);
-    CHECK(!violations[0].events.empty());
+    CHECK(violations[0].invariant == variant.invariant);
+    CHECK(!violations[0].description.empty());
   }
 }
 
--- a/tests/in_memory_record_store.h
+++ b/tests/in_memory_record_store.h
@@ -10,18 +10,19 @@
 namespace filbertrack {
 
 /// Records of a store that answers at once, and the calls that it got.
-class CountedRecords : public RecordStore {
+class InMemoryRecordStore : public RecordStore {
  public:
   void Read(const std::string& name,
-            std::function<void(StoreAnswer)> done) override {
+            std::function<void(StoreResponse)> done) override {
     const auto found = records.find(name);
-    done(found == records.end() ? StoreAnswer{StoreStatus::kNotFound, {}}
-                                : StoreAnswer{StoreStatus::kOk, found->second});
+    done(found == records.end()
+             ? StoreResponse{StoreStatus::kNotFound, {}}
+             : StoreResponse{StoreStatus::kOk, found->second});
   }
   void Write(const std::string& name,
              const std::string& value,
              uint64_t expected_version,
-             std::function<void(StoreAnswer)> done) override {
+             std::function<void(StoreResponse)> done) override {
     ++writes;
     StoredObject& record = records[name];
     if (record.version != expected_version) {
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -193,10 +193,11 @@
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(RunUntil(fixture.loop, [&] { return !fixture.requests.empty(); }));
-  bool gone = false;
-  fixture.requests[0]->OnCallerGone([&gone] { gone = true; });
+  bool disconnected = false;
+  fixture.requests[0]->OnCallerDisconnected(
+      [&disconnected] { disconnected = true; });
   caller.stream->Close();
-  CHECK(RunUntil(fixture.loop, [&] { return gone; }));
+  CHECK(RunUntil(fixture.loop, [&] { return disconnected; }));
   CHECK_FALSE(fixture.requests[0]->IsOpen());
 }
 
@@ -249,14 +250,14 @@
 TEST_CASE("a refused connection is a failure that did not run") {
   // Nothing listens at the address: no byte can have left.
   EventLoop loop;
-  Address nobody;
+  Address unused_address;
   {
     RawServer server(loop, [](const auto&, size_t) {});
-    nobody = server.address;
+    unused_address = server.address;
   }
   HttpClient client(loop, 4);
   CallResult result;
-  const auto call = StartCall(client, nobody, result);
+  const auto call = StartCall(client, unused_address, result);
   REQUIRE(RunUntil(loop, [&] { return result.ended; }));
   CHECK(result.failed);
   CHECK_FALSE(result.may_have_left);
@@ -330,12 +331,14 @@
 TEST_CASE("a call that is dropped closes its connection") {
   // The server sees the end: it can stop work that nobody waits for.
   EventLoop loop;
-  bool asked = false;
-  RawServer server(loop, [&asked](const auto&, size_t) { asked = true; });
+  bool request_received = false;
+  RawServer server(loop, [&request_received](const auto&, size_t) {
+    request_received = true;
+  });
   HttpClient client(loop, 4);
   CallResult result;
   auto call = StartCall(client, server.address, result);
-  REQUIRE(RunUntil(loop, [&] { return asked; }));
+  REQUIRE(RunUntil(loop, [&] { return request_received; }));
   call.reset();
   CHECK(RunUntil(loop, [&] { return !server.streams[0]->is_open(); }));
   CHECK_FALSE(result.ended);
--- a/tests/platform_backpressure_test.cc
+++ b/tests/platform_backpressure_test.cc
@@ -22,7 +22,7 @@
   explicit PressureSite(int entry_hosts, int hosts = 0)
       : Site(hosts, entry_hosts) {}
 
-  bool IsUp(size_t groups = 0) {
+  bool WaitUntilReady(size_t groups = 0) {
     return RunUntil(loop, [this, groups] {
       return std::all_of(nodes.begin(), nodes.end(), [&](const auto& node) {
         return node->host.IsReady() &&
@@ -33,42 +33,43 @@
   }
 
   /// One more request that may be repeated, to each entry host in turn.
-  Answer AskNext() {
-    ++asked;
-    const EntryNode& node = *nodes[asked % nodes.size()];
-    Answer answer;
-    const auto call = AskAt(node.host.caller_address(), client, "/safe/x",
-                            "id-" + std::to_string(asked), answer);
-    CHECK(RunUntil(loop, [&answer] { return answer.ended; }));
-    return answer;
+  CallerResponse SendNext() {
+    ++sent;
+    const EntryNode& node = *nodes[sent % nodes.size()];
+    CallerResponse response;
+    const auto call =
+        SendRequestTo(node.host.caller_address(), client, "/safe/x",
+                      "id-" + std::to_string(sent), response);
+    CHECK(RunUntil(loop, [&response] { return response.ended; }));
+    return response;
   }
 
   /// Asks until each entry host has had an answer of each server, so that each
   /// was told what the servers say.
-  void AskUntilTold() {
+  void SendUntilAnnounced() {
     const size_t enough = plain.size() * nodes.size() * 4;
     for (size_t i = 0; i < enough; ++i) {
-      AskNext();
+      SendNext();
     }
   }
 
   HttpClient client{loop, 4};
-  size_t asked = 0;
+  size_t sent = 0;
 };
 
 /// The most requests that arrived in any four seconds, from the one numbered
 /// `first` on.
 size_t MaxArrivals(const PlatformRunnerStandin& server, size_t first) {
   const std::vector<SeenRequest>& seen = server.seen();
-  size_t most = 0;
-  size_t begin = first;
+  size_t max_count = 0;
+  size_t window_begin = first;
   for (size_t i = first; i < seen.size(); ++i) {
-    while (seen[i].arrived - seen[begin].arrived > kLimitWindow) {
-      ++begin;
+    while (seen[i].arrived - seen[window_begin].arrived > kLimitWindow) {
+      ++window_begin;
     }
-    most = std::max(most, i - begin + 1);
+    max_count = std::max(max_count, i - window_begin + 1);
   }
-  return most;
+  return max_count;
 }
 
 TEST_CASE("limit: a server gets no more than it named from all entry hosts") {
@@ -81,27 +82,27 @@
   // them bore rate_limit 0.5, and the servers got 40 and 20 requests of 60.
   constexpr double kLimit = 0.5;
   PressureSite site(3);
-  REQUIRE(site.IsUp());
+  REQUIRE(site.WaitUntilReady());
   for (const auto& server : site.plain) {
     server->SetLimit(kLimit);
   }
-  site.AskUntilTold();
-  std::vector<size_t> told;
+  site.SendUntilAnnounced();
+  std::vector<size_t> seen_before;
   for (const auto& server : site.plain) {
-    told.push_back(server->seen().size());
+    seen_before.push_back(server->seen().size());
   }
   for (int i = 0; i < 60; ++i) {
-    site.AskNext();
+    site.SendNext();
   }
   for (size_t i = 0; i < site.plain.size(); ++i) {
-    CHECK(MaxArrivals(*site.plain[i], told[i]) <= MaxInWindow(kLimit));
+    CHECK(MaxArrivals(*site.plain[i], seen_before[i]) <= MaxInWindow(kLimit));
   }
 }
 
 /// Requests that the platform allows of an entry host to a server that asked it
 /// for rest, from this long after that until the end of the rest.
 constexpr size_t kMaxWhileResting = 2;
-constexpr Duration kRestGrace = Milliseconds(500);
+constexpr Duration kBackoffGrace = Milliseconds(500);
 
 /// Callers that begin a stream at even intervals, whatever becomes of those
 /// before.
@@ -112,24 +113,25 @@
 
   void Stop() { m_timer.reset(); }
   bool AllServed() const {
-    return std::all_of(
-        m_answers.begin(), m_answers.end(), [](const Answer& answer) {
-          return answer.ended && !answer.failed && answer.status == 200;
-        });
+    return std::all_of(m_responses.begin(), m_responses.end(),
+                       [](const CallerResponse& response) {
+                         return response.ended && !response.failed &&
+                                response.status == 200;
+                       });
   }
-  size_t count() const { return m_answers.size(); }
+  size_t count() const { return m_responses.size(); }
 
  private:
   void Begin() {
-    m_answers.emplace_back();
-    m_calls.push_back(AskAt(m_site.host->caller_address(), m_client, "/s/x",
-                            "s-" + std::to_string(m_answers.size()),
-                            m_answers.back()));
+    m_responses.emplace_back();
+    m_calls.push_back(SendRequestTo(
+        m_site.host->caller_address(), m_client, "/s/x",
+        "s-" + std::to_string(m_responses.size()), m_responses.back()));
   }
 
   Site& m_site;
   HttpClient m_client{m_site.loop, 32};
-  std::deque<Answer> m_answers;
+  std::deque<CallerResponse> m_responses;
   std::vector<std::unique_ptr<HttpCall>> m_calls;
   std::unique_ptr<Timer> m_timer;
 };
@@ -143,28 +145,30 @@
   // a sign that all was well again. Here the head got three or four requests
   // between half a second and the end of the rest, two of them just after such
   // a stream.
-  constexpr Duration kRest = Seconds(3);
+  constexpr Duration kBackoff = Seconds(3);
   constexpr size_t kGroups = 6;
   PressureSite site(1, 13);
   for (const auto& runner : site.runners) {
     runner->SetEvents(120);
   }
-  REQUIRE(site.IsUp(kGroups));
+  REQUIRE(site.WaitUntilReady(kGroups));
   StreamCallers callers(site, Milliseconds(100));
   REQUIRE(RunUntil(site.loop, [&callers] { return callers.count() == 15; }));
-  const auto weary =
+  const auto refusing =
       std::find_if(site.runners.begin(), site.runners.end(),
                    [](const auto& runner) { return !runner->seen().empty(); });
-  REQUIRE(weary != site.runners.end());
-  (*weary)->SetFull(true);
-  (*weary)->SetRest(kRest);
-  const std::vector<RefusedRequest>& refusals = (*weary)->refusals();
+  REQUIRE(refusing != site.runners.end());
+  (*refusing)->SetFull(true);
+  (*refusing)->SetRetryAfter(kBackoff);
+  const std::vector<RefusedRequest>& refusals = (*refusing)->refusals();
   REQUIRE(RunUntil(site.loop, [&] { return !refusals.empty(); }));
-  const TimePoint told = refusals.front().at;
-  REQUIRE(RunUntil(site.loop, [&] { return MonotonicNow() - told > kRest; }));
+  const TimePoint first_refusal = refusals.front().at;
+  REQUIRE(RunUntil(site.loop,
+                   [&] { return MonotonicNow() - first_refusal > kBackoff; }));
   const auto late = std::count_if(
       refusals.begin(), refusals.end(), [&](const RefusedRequest& refused) {
-        return refused.at - told > kRestGrace && refused.at - told < kRest;
+        return refused.at - first_refusal > kBackoffGrace &&
+               refused.at - first_refusal < kBackoff;
       });
   CHECK(static_cast<size_t>(late) <= kMaxWhileResting);
   callers.Stop();
@@ -178,18 +182,18 @@
   // server that was about to end: 60 more requests here, whose answers could
   // have broken off.
   PressureSite site(1);
-  REQUIRE(site.IsUp());
-  PlatformRunnerStandin& leaver = *site.plain[0];
-  leaver.SetLeaving(true);
-  while (leaver.seen().empty()) {
-    REQUIRE(site.asked < 100);
-    site.AskNext();
+  REQUIRE(site.WaitUntilReady());
+  PlatformRunnerStandin& leaving_server = *site.plain[0];
+  leaving_server.SetLeaving(true);
+  while (leaving_server.seen().empty()) {
+    REQUIRE(site.sent < 100);
+    site.SendNext();
   }
-  const size_t told = leaver.seen().size();
+  const size_t seen_before = leaving_server.seen().size();
   for (int i = 0; i < 60; ++i) {
-    CHECK(site.AskNext().status == 200);
+    CHECK(site.SendNext().status == 200);
   }
-  CHECK(leaver.seen().size() == told);
+  CHECK(leaving_server.seen().size() == seen_before);
 }
 
 }  // namespace
--- a/tests/platform_evacuation_test.cc
+++ b/tests/platform_evacuation_test.cc
@@ -14,19 +14,19 @@
 
 /// Within this all entry hosts act on what the operator wrote, while the store
 /// answers.
-constexpr Duration kInForce = Milliseconds(500);
+constexpr Duration kPropagationTime = Milliseconds(500);
 
 /// Servers in two data centres, `z` and `y`, in regions of their own.
-struct TwoCentres : Site {
-  explicit TwoCentres(int entry_hosts,
-                      int hosts = 0,
-                      Json config = MakeConfig(1))
+struct TwoDataCentres : Site {
+  explicit TwoDataCentres(int entry_hosts,
+                          int hosts = 0,
+                          Json config = MakeConfig(1))
       : Site(SiteOptions{.hosts = hosts,
                          .entry_hosts = entry_hosts,
                          .data_centres = {"z", "y"},
                          .config = std::move(config)}) {}
 
-  bool IsUp(size_t targets) {
+  bool WaitUntilReady(size_t targets) {
     return RunUntil(loop, [this, targets] {
       return std::all_of(nodes.begin(), nodes.end(), [&](const auto& node) {
         return node->host.IsReady() && node->CountTargets() == targets &&
@@ -41,7 +41,7 @@
     const size_t before = plain[1]->seen().size();
     plain[0]->SetFull(true);
     for (const auto& node : nodes) {
-      AskAtNode(*node, "/safe/x");
+      SendTo(*node, "/safe/x");
     }
     plain[0]->SetFull(false);
     return plain[1]->seen().size() - before;
@@ -53,7 +53,7 @@
   }
 
   /// Requests that ran in the data centre so far.
-  size_t CountRunIn(std::string_view data_centre) const {
+  size_t CountRequestsIn(std::string_view data_centre) const {
     size_t count = 0;
     for (const auto* servers : {&runners, &plain}) {
       for (const auto& server : *servers) {
@@ -72,127 +72,128 @@
     return count;
   }
 
-  Answer AskAtNode(const EntryNode& node, const std::string& path) {
-    ++asked;
-    Answer answer;
-    const auto call = AskAt(node.host.caller_address(), client, path,
-                            "id-" + std::to_string(asked), answer);
-    CHECK(RunUntil(loop, [&answer] { return answer.ended; }));
-    return answer;
+  CallerResponse SendTo(const EntryNode& node, const std::string& path) {
+    ++sent;
+    CallerResponse response;
+    const auto call = SendRequestTo(node.host.caller_address(), client, path,
+                                    "id-" + std::to_string(sent), response);
+    CHECK(RunUntil(loop, [&response] { return response.ended; }));
+    return response;
   }
 
   /// As many requests to each entry host; all are to be answered.
-  void AskAll(int times, const std::string& path) {
+  void SendToEachHost(int times, const std::string& path) {
     for (int i = 0; i < times; ++i) {
       for (const auto& node : nodes) {
-        CHECK(AskAtNode(*node, path).status == 200);
+        CHECK(SendTo(*node, path).status == 200);
       }
     }
   }
 
   /// Requests that all begin at once, over all entry hosts.
-  void AskAtOnce(size_t count, const std::string& path) {
-    std::deque<Answer> answers;
+  void SendConcurrently(size_t count, const std::string& path) {
+    std::deque<CallerResponse> responses;
     std::vector<std::unique_ptr<HttpCall>> calls;
     for (size_t i = 0; i < count; ++i) {
-      ++asked;
-      answers.emplace_back();
-      calls.push_back(AskAt(nodes[i % nodes.size()]->host.caller_address(),
-                            client, path, "id-" + std::to_string(asked),
-                            answers.back()));
+      ++sent;
+      responses.emplace_back();
+      calls.push_back(
+          SendRequestTo(nodes[i % nodes.size()]->host.caller_address(), client,
+                        path, "id-" + std::to_string(sent), responses.back()));
     }
-    CHECK(RunUntil(loop, [&answers] {
-      return std::all_of(answers.begin(), answers.end(),
-                         [](const Answer& answer) { return answer.ended; });
+    CHECK(RunUntil(loop, [&responses] {
+      return std::all_of(
+          responses.begin(), responses.end(),
+          [](const CallerResponse& response) { return response.ended; });
     }));
   }
 
   HttpClient client{loop, 64};
-  size_t asked = 0;
+  size_t sent = 0;
 };
 
-int CodeOf(const Answer& answer) {
-  return Json::parse(answer.body, nullptr, false).value("code", 0);
+int CodeOf(const CallerResponse& response) {
+  return Json::parse(response.body, nullptr, false).value("code", 0);
 }
 
 TEST_CASE("evacuation: nothing new reaches the servers of the data centre") {
   // Guards against an order of the operator that nobody reads.
-  TwoCentres site(2, 10);
-  REQUIRE(site.IsUp(6));
-  site.AskAtOnce(40, "/s/x");
-  CHECK(site.CountRunIn("y") > 0);
+  TwoDataCentres site(2, 10);
+  REQUIRE(site.WaitUntilReady(6));
+  site.SendConcurrently(40, "/s/x");
+  CHECK(site.CountRequestsIn("y") > 0);
   CHECK(site.CountSentToY() == 2);
   site.store.Put("evacuations", "y", Json::object());
-  site.Wait(kInForce);
-  const size_t ran = site.CountRunIn("y");
+  site.Wait(kPropagationTime);
+  const size_t seen_in_y = site.CountRequestsIn("y");
   const uint64_t orders = site.CountOrdersIn("y");
-  site.AskAtOnce(40, "/s/x");
+  site.SendConcurrently(40, "/s/x");
   CHECK(site.CountSentToY() == 0);
-  CHECK(site.CountRunIn("y") == ran);
+  CHECK(site.CountRequestsIn("y") == seen_in_y);
   CHECK(site.CountOrdersIn("y") == orders);
   site.store.Remove("evacuations", "y");
-  site.Wait(kInForce);
-  site.AskAtOnce(40, "/s/x");
+  site.Wait(kPropagationTime);
+  site.SendConcurrently(40, "/s/x");
   CHECK(site.CountSentToY() == 2);
-  CHECK(site.CountRunIn("y") > ran + 2);
+  CHECK(site.CountRequestsIn("y") > seen_in_y + 2);
 }
 
 TEST_CASE("evacuation: a host that the store turns away hears it from others") {
   // Guards against a host that learns of evacuations from the store alone.
-  TwoCentres site(1);
+  TwoDataCentres site(1);
   site.AddEntryHost(true);
-  REQUIRE(site.IsUp(2));
+  REQUIRE(site.WaitUntilReady(2));
   site.store.faults().refuses_second = true;
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   CHECK(site.CountSentToY() == 2);
   site.store.Put("evacuations", "y", Json::object());
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   CHECK(site.CountSentToY() == 0);
 }
 
 TEST_CASE("evacuation: holds for hosts that start, and after a lost history") {
   // Guards against evacuations that only a watch tells, which misses what was
   // written before it began or while the history was dropped.
-  TwoCentres site(2);
-  REQUIRE(site.IsUp(2));
+  TwoDataCentres site(2);
+  REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", Json::object());
   site.store.Compact();
   site.AddEntryHost();
   REQUIRE(RunUntil(site.loop,
                    [&site] { return site.nodes.back()->host.IsReady(); }));
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   CHECK(site.CountSentToY() == 0);
   site.store.Remove("evacuations", "y");
   site.store.Compact();
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   CHECK(site.CountSentToY() == 3);
 }
 
 TEST_CASE("evacuation: a slow store delays it by its own time only") {
   // Guards against an evacuation that waits for a further call of a slow store.
   constexpr Duration kDelay = Milliseconds(300);
-  TwoCentres site(2);
-  REQUIRE(site.IsUp(2));
+  TwoDataCentres site(2);
+  REQUIRE(site.WaitUntilReady(2));
   site.store.faults().delay = kDelay;
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   site.store.Put("evacuations", "y", Json::object());
-  site.Wait(kInForce + 2 * kDelay);
+  site.Wait(kPropagationTime + 2 * kDelay);
   CHECK(site.CountSentToY() == 0);
 }
 
 TEST_CASE("evacuation: of all data centres, requests are refused at once") {
   // Guards against callers that wait for what cannot be served.
-  TwoCentres site(2);
-  REQUIRE(site.IsUp(2));
+  TwoDataCentres site(2);
+  REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", "entry of another writer");
   site.store.Put("evacuations", "nowhere", Json::object());
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   CHECK(site.CountSentToY() == 0);
-  CHECK(site.AskAtNode(*site.nodes[0], "/safe/x").status == 200);
+  CHECK(site.SendTo(*site.nodes[0], "/safe/x").status == 200);
   site.store.Put("evacuations", "z", nullptr);
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   const TimePoint begin = MonotonicNow();
-  const Answer refused = site.AskAtNode(*site.nodes[0], "/safe/x");
+  const CallerResponse refused = site.SendTo(*site.nodes[0], "/safe/x");
   CHECK(MonotonicNow() - begin < Milliseconds(300));
   CHECK(refused.status == 503);
   CHECK(CodeOf(refused) == 121);
@@ -200,23 +201,23 @@
 }
 
 /// What a cold server of the sites below bears in a second, and what ends it.
-constexpr double kBorne = 4;
+constexpr double kColdRequestsPerSecond = 4;
 constexpr size_t kMaxInSecond = 11;
 
 Json ColdConfig() {
   Json config = MakeConfig(1);
   for (Json& service : config["services"]) {
     service["coldStartS"] = 3;
-    service["coldPerS"] = kBorne;
+    service["coldPerS"] = kColdRequestsPerSecond;
   }
   return config;
 }
 
 /// Bursts over all entry hosts while the server of `z` refuses all.
-void PressOnY(TwoCentres& site, int bursts) {
+void SendBurstsToY(TwoDataCentres& site, int bursts) {
   site.plain[0]->SetFull(true);
   for (int i = 0; i < bursts; ++i) {
-    site.AskAtOnce(30, "/safe/x");
+    site.SendConcurrently(30, "/safe/x");
     site.Wait(Milliseconds(200));
   }
   site.plain[0]->SetFull(false);
@@ -225,13 +226,13 @@
 TEST_CASE("cold: a burst over all entry hosts does not end a cold server") {
   // Guards against a cold server that is chosen by all hosts because its places
   // are free.
-  TwoCentres site(3, 0, ColdConfig());
-  REQUIRE(site.IsUp(2));
+  TwoDataCentres site(3, 0, ColdConfig());
+  REQUIRE(site.WaitUntilReady(2));
   PlatformRunnerStandin& cold = *site.plain[1];
   const TimePoint since = MonotonicNow();
-  cold.SetCold({Seconds(3), kBorne, true});
-  site.Wait(kInForce);
-  PressOnY(site, 5);
+  cold.SetCold({Seconds(3), kColdRequestsPerSecond, true});
+  site.Wait(kPropagationTime);
+  SendBurstsToY(site, 5);
   CHECK(!cold.is_dead());
   CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
   CHECK(cold.seen().size() > 0);
@@ -243,15 +244,15 @@
 TEST_CASE("cold: servers that were evacuated come back without a word of it") {
   // Guards against a data centre that is taken back with all its share at once,
   // though its servers turned cold meanwhile and nothing tells so.
-  TwoCentres site(3, 0, ColdConfig());
-  REQUIRE(site.IsUp(2));
+  TwoDataCentres site(3, 0, ColdConfig());
+  REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", Json::object());
-  site.Wait(kInForce);
+  site.Wait(kPropagationTime);
   PlatformRunnerStandin& cold = *site.plain[1];
-  cold.SetCold({Seconds(3), kBorne, false});
+  cold.SetCold({Seconds(3), kColdRequestsPerSecond, false});
   const TimePoint since = MonotonicNow();
   site.store.Remove("evacuations", "y");
-  PressOnY(site, 5);
+  SendBurstsToY(site, 5);
   CHECK(!cold.is_dead());
   CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
 }
@@ -265,25 +266,26 @@
   config["tenants"].push_back({{"name", "at-home"},
                                {"apiKeys", {"home-key"}},
                                {"allowedRegions", {"region-z"}}});
-  TwoCentres site(2, 0, config);
-  REQUIRE(site.IsUp(2));
-  const size_t in_z = site.CountRunIn("z");
-  site.AskAll(20, "/bound/x");
-  CHECK(site.CountRunIn("z") == in_z);
-  const size_t in_y = site.CountRunIn("y");
+  TwoDataCentres site(2, 0, config);
+  REQUIRE(site.WaitUntilReady(2));
+  const size_t seen_in_z = site.CountRequestsIn("z");
+  site.SendToEachHost(20, "/bound/x");
+  CHECK(site.CountRequestsIn("z") == seen_in_z);
+  const size_t seen_in_y = site.CountRequestsIn("y");
   for (int i = 0; i < 20; ++i) {
-    Answer answer;
+    CallerResponse response;
     const auto call =
-        AskAt(site.host->caller_address(), site.client, "/safe/x",
-              "home-" + std::to_string(i), answer, {"home-key", {}});
-    CHECK(RunUntil(site.loop, [&answer] { return answer.ended; }));
-    CHECK(answer.status == 200);
+        SendRequestTo(site.host->caller_address(), site.client, "/safe/x",
+                      "home-" + std::to_string(i), response, {"home-key", {}});
+    CHECK(RunUntil(site.loop, [&response] { return response.ended; }));
+    CHECK(response.status == 200);
   }
-  CHECK(site.CountRunIn("y") == in_y);
+  CHECK(site.CountRequestsIn("y") == seen_in_y);
   // Where both bind and no region is in both, nobody may run it.
-  Answer refused;
-  const auto call = AskAt(site.host->caller_address(), site.client, "/bound/x",
-                          "both", refused, {"home-key", {}});
+  CallerResponse refused;
+  const auto call =
+      SendRequestTo(site.host->caller_address(), site.client, "/bound/x",
+                    "both", refused, {"home-key", {}});
   CHECK(RunUntil(site.loop, [&refused] { return refused.ended; }));
   CHECK(refused.status == 503);
   CHECK(CodeOf(refused) == 122);
--- a/tests/platform_path_test.cc
+++ b/tests/platform_path_test.cc
@@ -17,12 +17,12 @@
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   CHECK(site.host->IsReady());
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 200);
-  CHECK(answer.body == WholeStream(5));
-  CHECK(FindHeader(answer.headers, "X-Runner-Seal").starts_with("seal-of-"));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 200);
+  CHECK(response.body == ExpectedStream(5));
+  CHECK(FindHeader(response.headers, "X-Runner-Seal").starts_with("seal-of-"));
   for (const auto& runner : site.runners) {
     for (const SeenRequest& seen : runner->seen()) {
       CHECK(seen.workspace == "w");
@@ -40,10 +40,10 @@
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 2; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
   REQUIRE(RunUntil(site.loop, [&] {
-    return answer.body.find("part 2") != std::string::npos;
+    return response.body.find("part 2") != std::string::npos;
   }));
   for (const auto& runner : site.runners) {
     if (!runner->seen().empty()) {
@@ -51,9 +51,9 @@
       break;
     }
   }
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK_FALSE(answer.failed);
-  CHECK(answer.body == WholeStream(5));
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK_FALSE(response.failed);
+  CHECK(response.body == ExpectedStream(5));
 }
 
 TEST_CASE("a member leaves in mid-stream: the stream ends where it began") {
@@ -67,10 +67,10 @@
   }
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
   REQUIRE(RunUntil(site.loop, [&] {
-    return answer.body.find("part 2") != std::string::npos;
+    return response.body.find("part 2") != std::string::npos;
   }));
   std::string member;
   for (const auto& runner : site.runners) {
@@ -83,8 +83,8 @@
       runner->Register("draining");
     }
   }
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.body == WholeStream(40));
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.body == ExpectedStream(40));
   size_t sends = 0;
   for (const auto& runner : site.runners) {
     sends += runner->seen().size();
@@ -98,15 +98,15 @@
   // model, so to give the stream up would break an answer that still comes.
   Site site(3);
   for (const auto& runner : site.runners) {
-    runner->SetHalt(2, Milliseconds(1300));
+    runner->SetStreamStall(2, Milliseconds(1300));
   }
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK_FALSE(answer.failed);
-  CHECK(answer.body == WholeStream(5));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK_FALSE(response.failed);
+  CHECK(response.body == ExpectedStream(5));
 }
 
 TEST_CASE("a request that runs at most once is not sent again") {
@@ -115,28 +115,28 @@
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
-    server->SetLosesAnswers(true);
+    server->SetDropsResponses(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/once/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 502);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/once/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 502);
   CHECK(site.plain[0]->seen().size() + site.plain[1]->seen().size() == 1);
 }
 
 TEST_CASE("a request that may be repeated is sent to another server") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
-  site.plain[0]->SetLosesAnswers(true);
+  site.plain[0]->SetDropsResponses(true);
   HttpClient client(site.loop, 2);
   for (int i = 0; i < 4; ++i) {
-    Answer answer;
-    const auto call =
-        Ask(site, client, "/safe/x", "id-" + std::to_string(i), answer);
-    REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-    CHECK(answer.status == 200);
-    CHECK(answer.body == "answer of p1");
+    CallerResponse response;
+    const auto call = SendRequest(site, client, "/safe/x",
+                                  "id-" + std::to_string(i), response);
+    REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+    CHECK(response.status == 200);
+    CHECK(response.body == "answer of p1");
   }
 }
 
@@ -149,11 +149,11 @@
     server->SetFull(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/once/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 503);
-  CHECK_FALSE(FindHeader(answer.headers, "Retry-After").empty());
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/once/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 503);
+  CHECK_FALSE(FindHeader(response.headers, "Retry-After").empty());
   CHECK(site.plain[0]->seen().empty());
   CHECK(site.plain[1]->seen().empty());
 }
@@ -167,11 +167,11 @@
   HttpClient client(site.loop, 0);
   REQUIRE(RunUntil(site.loop, [&site] { return site.host->store_away(); }));
   REQUIRE(site.host->catalog() == nullptr);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "a", answer);
-  REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
-  CHECK(answer.status == 503);
-  const std::string after(FindHeader(answer.headers, "Retry-After"));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "a", response);
+  REQUIRE(RunUntil(site.loop, [&response] { return response.ended; }));
+  CHECK(response.status == 503);
+  const std::string after(FindHeader(response.headers, "Retry-After"));
   REQUIRE_FALSE(after.empty());
   CHECK(std::stod(after) >= 1);
   CHECK(std::stod(after) <= 2);
@@ -181,26 +181,27 @@
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
-    server->SetMixesAnswers(true);
+    server->SetSendsWrongAttemptId(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/safe/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 502);
-  CHECK(answer.body.find("answer of") == std::string::npos);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/safe/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 502);
+  CHECK(response.body.find("answer of") == std::string::npos);
 }
 
 TEST_CASE("unknown keys and routes are refused, and run nowhere") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   HttpClient client(site.loop, 2);
-  Answer wrong_key;
-  const auto first = Ask(site, client, "/safe/x", "id-1", wrong_key, "stolen");
+  CallerResponse wrong_key;
+  const auto first =
+      SendRequest(site, client, "/safe/x", "id-1", wrong_key, "stolen");
   REQUIRE(RunUntil(site.loop, [&] { return wrong_key.ended; }));
   CHECK(wrong_key.status == 401);
-  Answer no_route;
-  const auto second = Ask(site, client, "/nowhere/", "id-2", no_route);
+  CallerResponse no_route;
+  const auto second = SendRequest(site, client, "/nowhere/", "id-2", no_route);
   REQUIRE(RunUntil(site.loop, [&] { return no_route.ended; }));
   CHECK(no_route.status == 404);
 }
@@ -214,10 +215,10 @@
   REQUIRE(RunUntil(site.loop,
                    [&] { return site.host->catalog()->version() == 2; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/safe/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 401);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/safe/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 401);
 }
 
 TEST_CASE("a caller that leaves ends the work at the server") {
@@ -225,9 +226,9 @@
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 1; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return !answer.body.empty(); }));
+  CallerResponse response;
+  auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return !response.body.empty(); }));
   call.reset();
   CHECK(RunUntil(site.loop, [&] {
     return std::any_of(
@@ -265,13 +266,14 @@
   Site site(3);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  Answer refused;
-  const auto wrong = Ask(site, client, "/s/x", "id-2", refused, "stolen");
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CallerResponse refused;
+  const auto wrong =
+      SendRequest(site, client, "/s/x", "id-2", refused, "stolen");
   REQUIRE(RunUntil(site.loop, [&] { return refused.ended; }));
-  Answer metrics;
+  CallerResponse metrics;
   HttpCallRequest request;
   request.target = "/metrics";
   HttpCallEvents events;
@@ -301,8 +303,8 @@
   site.host->Drain();
   CHECK_FALSE(site.host->IsReady());
   HttpClient client(site.loop, 2);
-  Answer early;
-  const auto first = Ask(site, client, "/safe/x", "id-1", early);
+  CallerResponse early;
+  const auto first = SendRequest(site, client, "/safe/x", "id-1", early);
   REQUIRE(RunUntil(site.loop, [&] { return early.ended; }));
   CHECK(early.status == 200);
   CHECK(FindHeader(early.headers, "Connection") == "close");
--- a/tests/platform_poison_test.cc
+++ b/tests/platform_poison_test.cc
@@ -11,7 +11,7 @@
 
 /// Servers that such a request may end before it is known, and the most that it
 /// may reach after that and a stable window, over the whole fleet.
-constexpr int kEndsThatTell = 3;
+constexpr int kEndsUntilBlocked = 3;
 constexpr int kMaxEndsAfter = 3;
 /// Time for all entry hosts to agree, as the platform grants it.
 constexpr Duration kStableWindow = Seconds(3);
@@ -33,14 +33,14 @@
     config["tenants"][0]["apiKeys"] = {"key", "other"};
     store.Put("config", "main", config);
     for (const auto& runner : runners) {
-      runner->SetEndsOn(std::string(kPoison));
+      runner->SetCrashTrigger(std::string(kPoison));
     }
     for (const auto& server : plain) {
-      server->SetEndsOn(std::string(kPoison));
+      server->SetCrashTrigger(std::string(kPoison));
     }
   }
 
-  bool IsUp(size_t targets) {
+  bool WaitUntilReady(size_t targets) {
     return RunUntil(loop, [this, targets] {
       return std::all_of(nodes.begin(), nodes.end(),
                          [targets](const auto& node) {
@@ -51,7 +51,7 @@
     });
   }
 
-  int CountEnded() const {
+  int CountTerminated() const {
     const auto is_dead = [](const auto& runner) { return runner->is_dead(); };
     return static_cast<int>(
         std::count_if(runners.begin(), runners.end(), is_dead) +
@@ -60,16 +60,16 @@
 
   /// One more copy, with an id of its own, to the next entry host, by one key
   /// of the workspace or the other.
-  Answer SendCopy(const std::string& path) {
+  CallerResponse SendCopy(const std::string& path) {
     ++copies;
     const EntryNode& node = *nodes[copies % nodes.size()];
-    Answer answer;
-    const auto call =
-        AskAt(node.host.caller_address(), client, path,
-              "copy-" + std::to_string(copies), answer,
-              {copies % 3 == 0 ? "other" : "key", std::string(kPoison)});
-    CHECK(RunUntil(loop, [&answer] { return answer.ended; }));
-    return answer;
+    CallerResponse response;
+    const auto call = SendRequestTo(
+        node.host.caller_address(), client, path,
+        "copy-" + std::to_string(copies), response,
+        {copies % 3 == 0 ? "other" : "key", std::string(kPoison)});
+    CHECK(RunUntil(loop, [&response] { return response.ended; }));
+    return response;
   }
 
   HttpClient client{loop, 4};
@@ -84,30 +84,30 @@
   // `attempt-ended after_ms=226 silent_ms=54 why="connection broke"`, and 24
   // servers ended. A host that joins later must know it too.
   PoisonSite site(28, 3);
-  REQUIRE(site.IsUp(14));
-  while (site.CountEnded() < kEndsThatTell) {
+  REQUIRE(site.WaitUntilReady(14));
+  while (site.CountTerminated() < kEndsUntilBlocked) {
     REQUIRE(site.copies < 10);
     site.SendCopy("/s/poison");
   }
   RunFor(site.loop, kStableWindow);
   site.AddEntryHost();
-  REQUIRE(site.IsUp(4));
-  const int ended = site.CountEnded();
+  REQUIRE(site.WaitUntilReady(4));
+  const int ended = site.CountTerminated();
   for (int i = 0; i < kCopiesAfter; ++i) {
     site.SendCopy("/s/poison");
-    REQUIRE(site.CountEnded() - ended <= kMaxEndsAfter);
+    REQUIRE(site.CountTerminated() - ended <= kMaxEndsAfter);
   }
 }
 
 /// Ends servers until the request is refused everywhere.
-void Mark(PoisonSite& site) {
+void BlockPoisonRequest(PoisonSite& site) {
   const auto is_known = [&site] {
     return std::all_of(site.nodes.begin(), site.nodes.end(),
                        [](const auto& node) {
                          return !node->host.poison().ActiveBlocks().empty();
                        });
   };
-  while (site.CountEnded() < kEndsThatTell) {
+  while (site.CountTerminated() < kEndsUntilBlocked) {
     REQUIRE(site.copies < 10);
     site.SendCopy("/s/poison");
   }
@@ -118,12 +118,12 @@
   // Nothing ran, and to come back with the same would end more servers: the
   // answer says both, and no time to return.
   PoisonSite site(20, 2);
-  REQUIRE(site.IsUp(10));
-  Mark(site);
-  const Answer answer = site.SendCopy("/s/poison");
-  CHECK(answer.status == 503);
-  CHECK(FindHeader(answer.headers, "Retry-After").empty());
-  const Json body = Json::parse(answer.body);
+  REQUIRE(site.WaitUntilReady(10));
+  BlockPoisonRequest(site);
+  const CallerResponse response = site.SendCopy("/s/poison");
+  CHECK(response.status == 503);
+  CHECK(FindHeader(response.headers, "Retry-After").empty());
+  const Json body = Json::parse(response.body);
   CHECK(body["name"] == "ends-servers");
   CHECK(body["outcome"] == "not-run");
   for (const auto& runner : site.runners) {
@@ -138,24 +138,24 @@
   // other. The request that they had marked comes again to hosts that know
   // nothing of it but what they read from the store as they start.
   PoisonSite site(20, 2);
-  REQUIRE(site.IsUp(10));
-  Mark(site);
+  REQUIRE(site.WaitUntilReady(10));
+  BlockPoisonRequest(site);
   const auto is_written = [&site] {
     return !site.store.Get("filbertrack-records", "poison-requests").is_null();
   };
   REQUIRE(RunUntil(site.loop, is_written));
   site.nodes.clear();
-  EntryNode& fresh = site.AddEntryHost();
-  const auto has_read = [&fresh] {
-    return !fresh.host.poison().ActiveBlocks().empty();
+  EntryNode& new_host = site.AddEntryHost();
+  const auto has_read = [&new_host] {
+    return !new_host.host.poison().ActiveBlocks().empty();
   };
   REQUIRE(RunUntil(site.loop, has_read));
-  const int ended = site.CountEnded();
-  REQUIRE(site.IsUp(1));
+  const int ended = site.CountTerminated();
+  REQUIRE(site.WaitUntilReady(1));
   for (int i = 0; i < kCopiesAfter; ++i) {
     CHECK(site.SendCopy("/s/poison").status == 503);
   }
-  CHECK(site.CountEnded() == ended);
+  CHECK(site.CountTerminated() == ended);
 }
 
 TEST_CASE("requests beside one that ends servers are served") {
@@ -166,37 +166,38 @@
   for (const auto& runner : site.runners) {
     runner->SetEvents(20);
   }
-  REQUIRE(site.IsUp(14));
+  REQUIRE(site.WaitUntilReady(14));
   for (int round = 0; round < 8; ++round) {
-    std::vector<std::unique_ptr<Answer>> answers;
+    std::vector<std::unique_ptr<CallerResponse>> responses;
     std::vector<std::unique_ptr<HttpCall>> calls;
     for (int i = 0; i < 16; ++i) {
-      answers.push_back(std::make_unique<Answer>());
-      calls.push_back(
-          AskAt(site.nodes[static_cast<size_t>(i) % 2]->host.caller_address(),
-                site.client, "/s/poison",
-                "beside-" + std::to_string(round) + "-" + std::to_string(i),
-                *answers.back(), {"key", "innocent " + std::to_string(i)}));
+      responses.push_back(std::make_unique<CallerResponse>());
+      calls.push_back(SendRequestTo(
+          site.nodes[static_cast<size_t>(i) % 2]->host.caller_address(),
+          site.client, "/s/poison",
+          "beside-" + std::to_string(round) + "-" + std::to_string(i),
+          *responses.back(), {"key", "innocent " + std::to_string(i)}));
     }
     site.SendCopy("/s/poison");
-    REQUIRE(RunUntil(site.loop, [&answers] {
-      return std::all_of(answers.begin(), answers.end(),
-                         [](const auto& answer) { return answer->ended; });
+    REQUIRE(RunUntil(site.loop, [&responses] {
+      return std::all_of(responses.begin(), responses.end(),
+                         [](const auto& response) { return response->ended; });
     }));
   }
   RunFor(site.loop, kStableWindow);
-  const int ended = site.CountEnded();
-  REQUIRE(site.IsUp(4));
+  const int ended = site.CountTerminated();
+  REQUIRE(site.WaitUntilReady(4));
   for (int i = 0; i < 16; ++i) {
     site.SendCopy("/s/poison");
-    Answer answer;
-    const auto call = AskAt(site.host->caller_address(), site.client,
-                            "/s/poison", "later-" + std::to_string(i), answer,
-                            {"key", "innocent " + std::to_string(i)});
-    REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
-    CHECK(answer.status == 200);
-    CHECK(answer.body == WholeStream(20));
-    REQUIRE(site.CountEnded() - ended <= kMaxEndsAfter);
+    CallerResponse response;
+    const auto call =
+        SendRequestTo(site.host->caller_address(), site.client, "/s/poison",
+                      "later-" + std::to_string(i), response,
+                      {"key", "innocent " + std::to_string(i)});
+    REQUIRE(RunUntil(site.loop, [&response] { return response.ended; }));
+    CHECK(response.status == 200);
+    CHECK(response.body == ExpectedStream(20));
+    REQUIRE(site.CountTerminated() - ended <= kMaxEndsAfter);
   }
 }
 
--- a/tests/platform_readers_test.cc
+++ b/tests/platform_readers_test.cc
@@ -80,9 +80,9 @@
   // host until the platform ends it.
   ReaderSite site;
   REQUIRE(RunUntil(site.loop, [&site] { return site.CountTargets() == 4; }));
-  std::vector<std::unique_ptr<SlowCaller>> deaf;
+  std::vector<std::unique_ptr<SlowCaller>> stalled_callers;
   for (int i = 0; i < 8; ++i) {
-    deaf.push_back(std::make_unique<SlowCaller>(
+    stalled_callers.push_back(std::make_unique<SlowCaller>(
         site.host->caller_address(), "deaf-" + std::to_string(i), 0));
   }
   SlowCaller slow(site.host->caller_address(), "slow", 20'000);
@@ -93,10 +93,10 @@
   });
   REQUIRE(RunUntil(site.loop, [&] { return max_held > kMaxHeld / 4; }));
   HttpClient client(site.loop, 4);
-  Answer answer;
-  const auto call = Ask(site, client, "/safe/x", "beside", answer);
-  REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
-  CHECK(answer.status == 200);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/safe/x", "beside", response);
+  REQUIRE(RunUntil(site.loop, [&response] { return response.ended; }));
+  CHECK(response.status == 200);
   REQUIRE(
       RunUntil(site.loop, [&] { return site.host->dropped_callers() >= 8; }));
   // One round of reading of each stream may come beyond the bound.
--- a/tests/platform_return_test.cc
+++ b/tests/platform_return_test.cc
@@ -11,7 +11,7 @@
 namespace filbertrack {
 namespace {
 
-ServerChanges Registered(const std::string& id, uint64_t revision) {
+ServerChanges MakeRegistration(const std::string& id, uint64_t revision) {
   BackendServer server;
   server.id = id;
   server.service = "plain";
@@ -21,26 +21,26 @@
   return changes;
 }
 
-struct Host {
-  Host()
+struct HostFixture {
+  HostFixture()
       : settings(*EntrySchema().ParseText("[node]\nname = e1\ndata_centre = z\n"
                                           "[store]\naddress = 127.0.0.1:9\n",
                                           "test.ini")),
         engines(loop),
         host(loop, settings, header_codec, engines) {
-    host.OnServers(Registered("s1", 10));
+    host.OnServers(MakeRegistration("s1", 10));
   }
 
   EventLoop loop;
-  platform::PlatformDialect header_codec;
+  platform::PlatformHeaderCodec header_codec;
   Settings settings;
-  platform::PlatformEngines engines;
+  platform::PlatformEngineClient engines;
   EntryHost host;
 };
 
 TEST_CASE("a host tells its peers when the store comes back after an outage") {
   // Registrations that lapsed meanwhile are kept for 2.5 s by all that hear it.
-  Host site;
+  HostFixture site;
   site.host.OnStoreLost();
   site.host.OnStoreReturned();
   CHECK(site.host.OwnGossipState().store_back_for.has_value());
@@ -52,9 +52,9 @@
   // back. A server that leaves without a word at that moment is taken for one
   // whose registration lapsed, and is sent requests for 2.5 s; it may end after
   // 2 s.
-  Host site;
+  HostFixture site;
   site.host.OnStoreLost();
-  site.host.OnServers(Registered("s2", 400));
+  site.host.OnServers(MakeRegistration("s2", 400));
   site.host.OnStoreReturned();
   CHECK_FALSE(site.host.OwnGossipState().store_back_for.has_value());
 }
@@ -64,20 +64,20 @@
   // Another writer puts something else in the place of a server's entry. No
   // request goes there any more; peers are passed the text as it stands, and
   // judge it by themselves. The server is back with its next own entry.
-  Host site;
-  ServerChanges foreign;
-  foreign.revision = 20;
-  foreign.unreadable.push_back({"s1", 20, "banana", "no service"});
-  site.host.OnServers(foreign);
+  HostFixture site;
+  ServerChanges invalid;
+  invalid.revision = 20;
+  invalid.unreadable.push_back({"s1", 20, "banana", "no service"});
+  site.host.OnServers(invalid);
   CHECK(site.host.directory().Find("s1") == nullptr);
-  const auto told = site.host.server_log().Since(10);
-  REQUIRE(told);
-  REQUIRE(told->size() == 1);
-  CHECK(told->front().text == "banana");
+  const auto logged = site.host.server_log().Since(10);
+  REQUIRE(logged);
+  REQUIRE(logged->size() == 1);
+  CHECK(logged->front().text == "banana");
   // An older word of it changes nothing.
-  site.host.OnServers(Registered("s1", 15));
+  site.host.OnServers(MakeRegistration("s1", 15));
   CHECK(site.host.directory().Find("s1") == nullptr);
-  site.host.OnServers(Registered("s1", 30));
+  site.host.OnServers(MakeRegistration("s1", 30));
   CHECK(site.host.directory().Find("s1") != nullptr);
 }
 
--- a/tests/platform_site.h
+++ b/tests/platform_site.h
@@ -107,7 +107,7 @@
                : CurrentTargets(host.directory(), *host.catalog()).size();
   }
 
-  platform::PlatformEngines engines;
+  platform::PlatformEngineClient engines;
   Settings settings;
   EntryHost host;
   bool listening;
@@ -154,11 +154,11 @@
   }
 
   /// `apart`: at the address where the store can turn it away.
-  EntryNode& AddEntryHost(bool apart = false) {
+  EntryNode& AddEntryHost(bool at_second_address = false) {
     const std::string name = "e" + std::to_string(nodes.size() + 1);
     nodes.push_back(std::make_unique<EntryNode>(
-        loop, apart ? store.second_address() : store.address(), name, options,
-        header_codec, decoder));
+        loop, at_second_address ? store.second_address() : store.address(),
+        name, options, header_codec, decoder));
     return *nodes.back();
   }
 
@@ -175,7 +175,7 @@
   PlatformStoreStandin store;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> runners;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> plain;
-  platform::PlatformDialect header_codec;
+  platform::PlatformHeaderCodec header_codec;
   platform::PlatformDecoder decoder;
   std::vector<std::unique_ptr<EntryNode>> nodes;
   /// The first entry host.
@@ -184,7 +184,7 @@
 };
 
 /// What a caller got.
-struct Answer {
+struct CallerResponse {
   bool ended = false;
   bool failed = false;
   int status = 0;
@@ -192,17 +192,18 @@
   std::string body;
 };
 
-struct AskOptions {
+struct RequestOptions {
   std::string key = "key";
   std::string body;
 };
 
-inline std::unique_ptr<HttpCall> AskAt(const Address& address,
-                                       HttpClient& client,
-                                       const std::string& path,
-                                       const std::string& id,
-                                       Answer& answer,
-                                       const AskOptions& options = {}) {
+inline std::unique_ptr<HttpCall> SendRequestTo(
+    const Address& address,
+    HttpClient& client,
+    const std::string& path,
+    const std::string& id,
+    CallerResponse& response,
+    const RequestOptions& options = {}) {
   HttpCallRequest request;
   request.method = HttpMethod::kPost;
   request.target = path;
@@ -214,27 +215,31 @@
                      {"Authorization", "Bearer " + options.key}};
   request.body = options.body;
   HttpCallEvents events;
-  events.on_head = [&answer](int status, const HttpHeaders& headers) {
-    answer.status = status;
-    answer.headers = headers;
+  events.on_head = [&response](int status, const HttpHeaders& headers) {
+    response.status = status;
+    response.headers = headers;
+  };
+  events.on_bytes = [&response](std::string_view bytes) {
+    response.body += bytes;
+  };
+  events.on_end = [&response](int) { response.ended = true; };
+  events.on_failure = [&response](bool) {
+    response.ended = response.failed = true;
   };
-  events.on_bytes = [&answer](std::string_view bytes) { answer.body += bytes; };
-  events.on_end = [&answer](int) { answer.ended = true; };
-  events.on_failure = [&answer](bool) { answer.ended = answer.failed = true; };
   return client.Start(address, std::move(request), std::move(events));
 }
 
-inline std::unique_ptr<HttpCall> Ask(Site& site,
-                                     HttpClient& client,
-                                     const std::string& path,
-                                     const std::string& id,
-                                     Answer& answer,
-                                     const std::string& key = "key") {
-  return AskAt(site.host->caller_address(), client, path, id, answer,
-               {key, {}});
+inline std::unique_ptr<HttpCall> SendRequest(Site& site,
+                                             HttpClient& client,
+                                             const std::string& path,
+                                             const std::string& id,
+                                             CallerResponse& response,
+                                             const std::string& key = "key") {
+  return SendRequestTo(site.host->caller_address(), client, path, id, response,
+                       {key, {}});
 }
 
-inline std::string WholeStream(int events) {
+inline std::string ExpectedStream(int events) {
   std::string text;
   for (int i = 1; i <= events; ++i) {
     text += "id: " + std::to_string(i) + "\ndata: part " + std::to_string(i) +
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -220,7 +220,7 @@
 }
 
 /// Notes what the store client tells.
-struct Listener : SiteListener {
+struct RecordingListener : SiteListener {
   void OnCatalog(std::shared_ptr<const Catalog> catalog, std::string) override {
     versions.push_back(catalog->version());
   }
@@ -232,9 +232,9 @@
     for (const Registration& registration : changes.changed) {
       servers.insert(registration.server.id);
     }
-    for (const UnreadableServer& foreign : changes.unreadable) {
-      servers.erase(foreign.id);
-      unreadable.insert(foreign.id);
+    for (const UnreadableServer& invalid : changes.unreadable) {
+      servers.erase(invalid.id);
+      unreadable.insert(invalid.id);
     }
     for (const RemovedServer& removed : changes.removed) {
       servers.erase(removed.id);
@@ -269,7 +269,7 @@
   store.Put("config", "main", MakeConfig(1));
   store.Put("servers", "s0", MakePlainSpec());
   store.faults().refuse_with = 503;
-  Listener listener;
+  RecordingListener listener;
   platform::PlatformStore client(loop, store.address(), {}, listener, 1);
   client.ReadOnce();
   REQUIRE(RunUntil(loop, [&store] { return store.calls() >= 4; }));
@@ -295,7 +295,7 @@
   }
 
   EventLoop loop;
-  Listener listener;
+  RecordingListener listener;
   PlatformStoreStandin store;
   platform::PlatformStore client;
 };
@@ -337,9 +337,9 @@
   // in place of a server that was known. The server is out; the others hold.
   StoreFixture fixture;
   fixture.store.Put("servers", "s0", "\u00ff garbage");
-  Json foreign = MakePlainSpec();
-  foreign.erase("state");
-  fixture.store.Put("servers", "s1", foreign);
+  Json invalid = MakePlainSpec();
+  invalid.erase("state");
+  fixture.store.Put("servers", "s1", invalid);
   CHECK(RunUntil(fixture.loop, [&] {
     return fixture.listener.unreadable == std::set<std::string>{"s0", "s1"};
   }));
@@ -354,7 +354,7 @@
   // The listing takes three pages. A server of the first page changes while the
   // second one is read; the watch goes on from the first page's revision.
   EventLoop loop;
-  Listener listener;
+  RecordingListener listener;
   PlatformStoreStandin store(loop, 3);
   store.Put("config", "main", MakeConfig(1));
   for (int i = 0; i < 8; ++i) {
@@ -403,14 +403,14 @@
 TEST_CASE("a write whose answer is lost shows as a conflict with itself") {
   StoreFixture fixture;
   fixture.store.faults().lost_writes = 1;
-  std::optional<StoreAnswer> first;
+  std::optional<StoreResponse> first;
   fixture.client.Write("r", "mine", 0,
-                       [&](const StoreAnswer& answer) { first = answer; });
+                       [&](const StoreResponse& answer) { first = answer; });
   REQUIRE(RunUntil(fixture.loop, [&] { return first.has_value(); }));
   CHECK(first->status == StoreStatus::kUnavailable);
-  std::optional<StoreAnswer> second;
+  std::optional<StoreResponse> second;
   fixture.client.Write("r", "mine", 0,
-                       [&](const StoreAnswer& answer) { second = answer; });
+                       [&](const StoreResponse& answer) { second = answer; });
   REQUIRE(RunUntil(fixture.loop, [&] { return second.has_value(); }));
   CHECK(second->status == StoreStatus::kConflict);
   CHECK(second->object.value == "mine");
@@ -429,7 +429,7 @@
 }
 
 TEST_CASE("a limit that a runner names is read, and a damaged one is not") {
-  const platform::PlatformDialect header_codec;
+  const platform::PlatformHeaderCodec header_codec;
   const auto read = [&header_codec](const std::string& text) {
     return header_codec.ReadAnswer(200, {{"Server-Limit", text}}).rate_limit;
   };
@@ -443,7 +443,7 @@
 
 TEST_CASE(
     "a rest is read with a refusal alone, and a leaving server is known") {
-  const platform::PlatformDialect header_codec;
+  const platform::PlatformHeaderCodec header_codec;
   const HttpHeaders rest = {{"X-Not-Executed", "1"}, {"Retry-After", "1.5"}};
   CHECK(header_codec.ReadAnswer(503, rest).backoff == Milliseconds(1500));
   CHECK_FALSE(header_codec.ReadAnswer(200, rest).backoff.has_value());
--- a/tests/run_until.h
+++ b/tests/run_until.h
@@ -9,17 +9,18 @@
 namespace filbertrack {
 
 /// Ends a test that waits for something that never comes.
-inline constexpr Duration kTestLimit = Seconds(30);
+inline constexpr Duration kTestTimeout = Seconds(30);
 
 /// False where the limit came first.
 template <typename Done>
 bool RunUntil(EventLoop& loop, Done done) {
-  bool late = false;
-  const auto limit = loop.After(kTestLimit, [&late] { late = true; });
-  while (!done() && !late) {
+  bool has_timed_out = false;
+  const auto timeout =
+      loop.After(kTestTimeout, [&has_timed_out] { has_timed_out = true; });
+  while (!done() && !has_timed_out) {
     event_base_loop(loop.base(), EVLOOP_ONCE);
   }
-  return !late;
+  return !has_timed_out;
 }
 
 }  // namespace filbertrack
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -41,11 +41,11 @@
 }
 
 TEST_CASE("each fault names file, section, key, value and what is allowed") {
-  struct Fault {
+  struct InvalidFile {
     const char* text;
-    std::vector<std::string> named;
+    std::vector<std::string> expected;
   };
-  const std::vector<Fault> faults = {
+  const std::vector<InvalidFile> files = {
       {"[a]\nname=n\ncount = 10\n", {"f.ini", "[a]", "count", "10", "1 to 9"}},
       {"[a]\nname=n\nwait = 5\n", {"wait", "'5'", "unit"}},
       {"[a]\nname=n\nwait = 2m\n", {"wait", "2m", "60s"}},
@@ -55,13 +55,13 @@
       {"[a]\ncount = 2\n", {"lacks", "name"}},
       {"[a]\nthis is no line\n", {"Line 2"}},
   };
-  for (const Fault& fault : faults) {
-    const auto settings = Schema().ParseText(fault.text, "f.ini");
+  for (const InvalidFile& file : files) {
+    const auto settings = Schema().ParseText(file.text, "f.ini");
     REQUIRE(!settings);
     CHECK(settings.error().code == ResultCode::kSettingsInvalid);
-    for (const std::string& name : fault.named) {
+    for (const std::string& part : file.expected) {
       CAPTURE(settings.error().message);
-      CHECK(settings.error().message.find(name) != std::string::npos);
+      CHECK(settings.error().message.find(part) != std::string::npos);
     }
   }
 }
