--- a/include/filbertrack/entry_control.h
+++ b/include/filbertrack/entry_control.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The control loop of an entry host: takes the lease on the groups when
-/// nobody holds it, and while it holds it asks the hosts how they are and
-/// gives the orders that the planner decides.
+/// Control loop of an entry host: acquires the lease on the groups when it is
+/// free. While this host holds it, the loop probes the hosts that form groups
+/// and sends them the orders of the replica planner.
 
 #include <map>
 #include <memory>
@@ -24,13 +24,15 @@
   ReplicaPolicy replicas;
   ProbePolicy probes;
   Duration pass_interval = Milliseconds(200);
-  /// Reports that arrive within this time of each other share a pass.
+  /// Delay from a change to the planning pass that it triggers; further changes
+  /// in this time are handled by the same pass.
   Duration coalesce_delay = Milliseconds(10);
-  /// Between batches of orders: answers and the lease come first.
+  /// Delay between two batches of orders, in which the event loop handles
+  /// responses and lease renewals.
   Duration batch_pause = Milliseconds(2);
-  /// A host that is much weaker than others gives the lease back once these
-  /// were heard for so long: two times that a host which fell silent counts as
-  /// there.
+  /// Releases the lease after stronger hosts have been live without a break for
+  /// this long. Twice FleetGossipPolicy::host_ttl, the time for which a host
+  /// that stopped responding still counts as live.
   Duration yield_after = Seconds(3);
 };
 
@@ -46,23 +48,27 @@
   ~EntryControl();
 
   void Start();
-  /// Gives the lease back, so that a successor need not wait.
+  /// Stops the loop and releases the lease, so that the next holder need not
+  /// wait for it to expire.
   void Stop();
 
   bool holds_lease() const { return m_lease.IsHeld(); }
 
  private:
   void Tick();
-  /// Gives the lease back where much stronger hosts can take it.
+  /// Releases the lease if stronger hosts have been live for `yield_after`.
   void YieldToStronger(TimePoint now);
   void OnLeaseGained();
   void OnLeaseLost();
+  /// Runs a pass after `coalesce_delay` unless one is scheduled already.
   void SchedulePass();
+  /// Plans the orders of all services and sends the first batch. Does nothing
+  /// while orders of an earlier pass are queued.
   void RunPass();
   static void LogCounts(const std::string& service,
                         const ReplicaCounts& counts);
   void EnqueueOrder(const PlannedOrder& planned);
-  /// Sends a batch of what waits, and the rest from later turns of the loop.
+  /// Sends one batch of the queued orders and schedules the next one.
   void SendBatch();
   void OnOrderResult(const std::string& service,
                      const ReplicaOrder& order,
@@ -77,10 +83,11 @@
   EntryLease m_lease;
   EntryProber m_prober;
   bool m_stopping = false;
-  /// Since when stronger hosts have been there without a break.
+  /// Start of the current period in which stronger hosts are live; nullopt if
+  /// there are none or the lease is not held.
   std::optional<TimePoint> m_stronger_since;
 
-  // While this host holds it.
+  // Valid while this host holds the lease.
   std::map<std::string, ReplicaMemory, std::less<>> m_memory;
   EntryOutbox m_outbox;
   std::unique_ptr<Timer> m_tick_timer;
--- a/include/filbertrack/entry_metrics.h
+++ b/include/filbertrack/entry_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Counters and histograms of an entry host, and figures that are read when
-/// they are asked for.
+/// Metrics of an entry host: counters, histograms, and gauges that are sampled
+/// when the metrics are read.
 
 #include <functional>
 #include <string>
@@ -14,31 +14,34 @@
 
 namespace filbertrack {
 
-/// How one request went.
+/// Measurements of one request.
 struct RequestMetrics {
   RepeatRule repeat = RepeatRule::kOnce;
   std::string_view model;
   ResultCode code = ResultCode::kOk;
   int sends = 0;
+  /// Time to the first event; nullopt if there was none.
   std::optional<Duration> first_event;
-  /// Between two events that the caller got.
+  /// Longest time between two events sent to the caller; nullopt if fewer than
+  /// two were.
   std::optional<Duration> longest_pause;
   Duration total{0};
 };
 
 class EntryMetrics {
  public:
-  /// A request that was placed, or was to be.
+  /// Records a request that was admitted, whether or not it reached a server.
   void OnRequest(const RequestMetrics& request_metrics);
-  /// A request that was turned away before it was to be placed.
+  /// Records a request that was rejected at admission.
   void OnRejected(ResultCode code);
 
-  /// A figure that `read` gives each time it is asked for. `labels` as in
-  /// Metrics.
+  /// Adds a gauge whose value is sampled by calling `read`. `labels` has the
+  /// format that Metrics uses.
   void AddGauge(std::string name,
                 std::string labels,
                 std::function<double()> read);
 
+  /// Samples the gauges and returns all metrics in the text format of Metrics.
   std::string Text();
 
  private:
--- a/include/filbertrack/entry_outbox.h
+++ b/include/filbertrack/entry_outbox.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// Orders that wait to be sent, a batch a turn of the loop.
+/// Queue of orders to send, in batches of one per iteration of the event loop.
 ///
-/// The first pass over a fleet orders every host at once. Sent in one turn,
-/// 3,000 orders kept the loop of a host with half a processor busy for over two
-/// seconds: it could not renew its lease, and all that it had ordered was void
-/// under the next one. Between batches the loop reads answers and renews.
+/// The first planning pass produces an order for every host of the fleet.
+/// Sending 3,000 orders in one iteration blocked the loop of a host with half a
+/// processor for over two seconds. The host could not renew its lease, and all
+/// its orders became void under the next one. Between batches the loop handles
+/// responses and renews the lease.
 
 #include <deque>
 #include <string>
@@ -22,19 +23,20 @@
 
 class EntryOutbox {
  public:
-  /// A batch of more than this would delay the answers to callers on a slow
-  /// host by more than some milliseconds; a repair takes fewer orders.
+  /// Maximum number of orders in a batch. A larger one would delay responses to
+  /// callers by more than a few milliseconds on a slow host. A repair needs
+  /// fewer orders than this.
   static constexpr size_t kMaxInBatch = 32;
 
   void Push(std::string host, const ReplicaOrder& order) {
     m_orders.push_back({std::move(host), order});
   }
 
-  /// The next orders, in the order in which they were given.
+  /// Removes and returns the next batch, first in, first out.
   std::vector<QueuedOrder> TakeBatch();
 
-  /// While orders wait, no further ones are planned: hosts that were not told
-  /// yet would look free.
+  /// Whether no orders are queued. Planning must wait until then, because hosts
+  /// whose orders are still queued would look free to the planner.
   bool empty() const { return m_orders.empty(); }
   void Clear() { m_orders.clear(); }
 
--- a/include/filbertrack/entry_peers.h
+++ b/include/filbertrack/entry_peers.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// What an entry host of a platform exchanges with the others. A host that the
-/// store turns away learns of a withdrawn key, a leaving backend server or a
-/// new configuration from its peers, and all learn of each other's work at the
-/// targets. Peers find each other, and their common secret, in the store.
+/// Gossip between the entry hosts of a platform. A host that cannot reach the
+/// store learns of a revoked key, a leaving backend server or a new
+/// configuration from its peers, and all hosts exchange their loads at the
+/// targets. Peers discover each other, and the shared secret, through the
+/// store.
 
 #include <map>
 #include <memory>
@@ -26,35 +27,38 @@
 namespace filbertrack {
 
 struct EntryPeersPolicy {
-  /// How often each neighbour is asked: half of the time within which a host
-  /// that has answered must not go back, and often enough that loads are fresh.
+  /// Interval between gossip rounds: half of the time within which a host that
+  /// has answered must not go back, and short enough that loads are fresh.
   Duration interval = Milliseconds(150);
   Duration request_timeout = Milliseconds(500);
-  /// Hosts asked in a round. With more peers than this each round asks others.
+  /// Number of peers that are sent a request in each round. With more peers
+  /// than this, rounds take them in turn.
   size_t neighbours = 8;
   WatchPolicy watch;
   /// The whole fleet starts for the first time.
   bool first_start = false;
-  /// After the start the hosts that are listed in the store count as peers
-  /// until they had time to be heard.
+  /// Time after the start in which hosts listed in the store count as live, as
+  /// their first message may not have arrived yet.
   Duration startup_grace_period = Seconds(2);
-  /// In large fleets so many hosts of a data centre ask the other ones; a
-  /// second one, so that the loss of one is no gap.
+  /// Number of hosts of each data centre that exchange loads with the other
+  /// data centres in a large fleet. Two, so that the failure of one leaves no
+  /// gap.
   size_t relays = 2;
   LoadExchangePolicy loads;
-  /// Time between two fetches of registrations: what changes meanwhile comes in
-  /// one message. A third of a round.
+  /// Minimum time from the end of a fetch of registrations to the next one, so
+  /// that several changes arrive in one message. A third of `interval`.
   Duration min_fetch_gap = Milliseconds(50);
-  /// A peer that does not answer is asked this much less often.
+  /// Minimum time between two requests to a peer that did not reply to the last
+  /// one.
   Duration unresponsive_interval = Seconds(1);
-  /// The hosts that are heard are named anew to those that remember them this
-  /// often, also where none came or went.
+  /// Maximum time between two updates of the hosts that share server limits,
+  /// even if no host joined or left.
   Duration host_refresh_interval = Seconds(1);
 };
 
 class EntryPeers {
  public:
-  /// `own` is this host as the others are told of it.
+  /// `own` describes this host to the others.
   EntryPeers(EventLoop& loop,
              FleetHost own,
              const Address& listen,
@@ -65,23 +69,26 @@
              SiteFeed& feed);
   ~EntryPeers();
 
-  /// Begins to look for the secret and the other entry hosts.
+  /// Starts the discovery of the shared secret and the other entry hosts.
+  /// Gossip starts once the secret is known.
   void Start();
 
-  /// Something changed here: peers are told at once and not with the next
-  /// round.
+  /// The state of this host changed: starts a round at once if the change
+  /// should not wait for the next one.
   void OnLocalChange();
 
-  /// This host must watch the store whatever the others do.
+  /// Makes this host watch the store even if it is not chosen as a watcher.
   void SetNeedsWatch(bool needs);
+  /// Whether this host watches the store.
   bool watches() const { return m_watching; }
 
-  /// Whether stronger hosts that reach the store are there to give the orders.
-  /// After a start of the fleet the first host that is up takes the lease, and
-  /// one with a tenth of a processor cannot ask hundreds of hosts how they are.
+  /// Whether a host of a higher capacity class is live and reaches the store,
+  /// so that it should hold the lease instead. After a start of the fleet the
+  /// first host that is up acquires the lease, and one with a tenth of a
+  /// processor cannot probe hundreds of hosts.
   bool ShouldYield(TimePoint now) const;
 
-  /// Bytes of messages with other entry hosts, by what they carry.
+  /// Bytes of gossip messages sent to other entry hosts, by content.
   struct Traffic {
     uint64_t states = 0;
     uint64_t configs = 0;
@@ -92,17 +99,19 @@
  private:
   struct Peer {
     Address address;
-    /// Its data centre is empty where it is not known yet.
+    /// The data centre is empty while it is not known.
     FleetHost host;
-    /// Made when the peer is first asked: most hosts of other data centres
-    /// never are.
+    /// Created with the first request to the peer. Most hosts of other data
+    /// centres are never sent one.
     std::unique_ptr<PeerClient> client;
     bool busy() const { return client != nullptr && client->busy(); }
     TimePoint last_request;
+    /// The last request got no reply in time.
     bool unresponsive = false;
-    /// Its facts of requests under which servers end are known up to here.
+    /// Revision of the peer's poison facts up to which they are known here.
     uint64_t known_poison_revision = 0;
-    /// The same of its words of limits that servers name.
+    /// Revision of the peer's records of server limits up to which they are
+    /// known here.
     uint64_t known_limits_revision = 0;
   };
 
@@ -110,64 +119,84 @@
   void OnSecret(const std::string& secret);
   void Listen(const std::string& secret);
   void RunRound();
-  /// What is asked for of the work of hosts that the peer heard.
-  enum class LoadScope { kOwn, kRemote, kRemoteAndLocal };
+  /// Loads that a peer is asked for.
+  enum class LoadScope {
+    /// Those of its own state only.
+    kOwn,
+    /// Also the sums of the remote data centres that it received.
+    kRemote,
+    /// Also the sum of the local data centre.
+    kRemoteAndLocal
+  };
   void Ask(const std::string& name, Peer& peer, LoadScope scope, TimePoint now);
+  /// `payload` is null if the peer did not reply in time.
   void OnReply(const std::string& name, const std::string* payload);
   void OnRequest(std::string_view payload, const PeerServer::Answer& answer);
   void ApplyReply(const GossipReply& reply);
   void ApplyConfig(const GossipReply& reply);
-  /// What this host tells a peer of that data centre.
+  /// State that this host sends to a peer in `data_centre`.
   GossipState OwnGossipState(std::string_view data_centre) const;
   std::string MakeReply(const GossipRequest& request);
+  /// Whether hosts of `data_centre` take part in the gossip rounds of this host
+  /// and receive its own loads instead of a sum. Also true for an empty name,
+  /// and for every data centre in a fleet with at most `neighbours` peers.
   bool IsLocal(std::string_view data_centre) const;
-  /// Asks the next peers of the own data centre in turn, so that all are asked.
+  /// Sends a request to the next local peers in turn, `neighbours` at most.
   void AskLocalPeers(TimePoint now);
-  /// Exchanges loads, where that is due, with the relays: of the own data
-  /// centre, or, as a relay, of all.
+  /// Exchanges loads if that is due: with a relay of the local data centre, or,
+  /// if this host is a relay, with the other data centres.
   void ExchangeLoads(TimePoint now);
-  /// As a relay: asks the other relays here and one host of each other data
-  /// centre.
+  /// As a relay, sends a request to one host of each remote data centre and,
+  /// under load, to the other relays of the local one.
   void ExchangeAsRelay(std::span<const std::string> relays, TimePoint now);
-  /// Asks a relay of that data centre, or another host of it where none of them
-  /// answers.
+  /// Sends a request to a relay of that data centre, or to another of its hosts
+  /// if none of the relays can take one.
   void AskDataCentre(const std::string& data_centre, TimePoint now);
-  /// Asks one that exchanges loads with other data centres for this host.
+  /// Sends a request to the relay whose turn it is.
   void AskRelay(std::span<const std::string> relays, TimePoint now);
-  /// Who does what for the others. To find it out takes a look at every host
-  /// of the fleet, so it is kept until one comes, goes or changes.
+  /// Roles of the hosts: relays and watchers. Computing them visits every host
+  /// of the fleet, so the result is cached until a host joins, leaves or
+  /// changes.
   struct Roles {
     uint64_t membership = 0;
     uint64_t peer_changes = 0;
     bool store_fails = false;
-    /// Of the time after the start in which the choice of watchers moves by
-    /// itself.
+    /// WatchPhase() for which the roles were computed.
     int64_t watch_phase = 0;
-    /// Of each data centre.
+    /// Names of the relays, by data centre.
     std::map<std::string, std::vector<std::string>, std::less<>> relays;
     std::set<std::string, std::less<>> remote_data_centres;
     size_t local_hosts = 0;
-    /// This host is among the watchers.
+    /// This host is one of the watchers.
     bool watches = false;
   };
+  /// Cached roles, computed anew if an input changed. The reference is valid
+  /// until the next call.
   const Roles& CurrentRoles(TimePoint now);
-  /// -1 once the choice of watchers hangs on who is heard alone.
+  /// Number of the current round within `listed_grace_period` of the start, in
+  /// which the choice of watchers also depends on the time; -1 afterwards.
   int64_t WatchPhase(TimePoint now) const;
   bool IsChosenToWatch(std::span<const FleetHost> live, TimePoint now) const;
-  /// Tells over which hosts the limits of servers are divided.
+  /// Sets the hosts that share the rate limits of the servers.
   void UpdateLimitHosts(TimePoint now);
-  /// Tells who may let a copy of a marked request through.
+  /// Sets the hosts that may send trial copies of blocked requests.
   void UpdateTrialHosts(TimePoint now);
   std::set<std::string, std::less<>> RemoteDataCentres() const;
-  /// False where the peer is busy, or silent and was asked lately.
+  /// Sends a request for the peer's own state. False, with none sent, if one is
+  /// in flight or an unresponsive peer was sent one within
+  /// `unresponsive_interval`.
   bool TryAsk(const std::string& name, Peer& peer, TimePoint now);
-  /// Asks `name` for what it knows more, unless another one is asked for it.
+  /// Requests the configuration or registrations from `name` if `state` shows
+  /// newer ones there and no other peer is being asked for them.
   void FetchNewer(const std::string& name, const GossipState& state);
   void AddPeer(const FleetHost& host, const std::string& address);
+  /// Records the state that a peer sent with a request or a reply.
   void RecordState(const GossipState& state, TimePoint now);
+  /// Passes the summed loads of the other hosts to the target selection.
   void UpdateRemoteLoads(TimePoint now);
+  /// Starts or stops watching the store if the role of this host has changed.
   void UpdateWatching(TimePoint now);
-  /// Peers that are listed and not heard may not have had the time.
+  /// Whether hosts that are listed but sent no message yet count as live.
   bool IsStartingUp(TimePoint now) const {
     return now - m_started < m_policy.startup_grace_period;
   }
@@ -184,9 +213,10 @@
   bool m_watching = false;
   bool m_has_list = false;
   bool m_needs_watch = false;
-  /// Whom the configuration, and whom registrations are asked of.
+  // Fetches of the configuration and of registrations, one peer at a time.
   GossipFetch m_config_fetch;
   GossipFetch m_servers_fetch;
+  // State at the latest OnLocalChange(), to tell what has changed since.
   uint64_t m_announced_config = 0;
   uint64_t m_announced_servers = 0;
   EvacuationUpdate m_announced_evacuations;
@@ -195,17 +225,18 @@
   std::unique_ptr<PeerServer> m_server;
   std::map<std::string, Peer, std::less<>> m_peers;
   FleetGossip m_gossip;
-  /// Names of the peers that the last round ended with.
+  /// Name of the last peer that AskLocalPeers() sent a request to; the next
+  /// round continues after it.
   std::string m_last_local_peer;
   LoadExchange m_load_exchange;
   std::optional<Roles> m_roles;
-  /// Counts peers that came or changed.
+  /// Number of times that a peer was added or changed its data centre.
   uint64_t m_peer_changes = 0;
   TimePoint m_limit_hosts_updated;
   uint64_t m_limit_hosts_membership = 0;
   std::mt19937_64 m_random;
   std::unique_ptr<Timer> m_round_timer;
-  /// Runs while loads are exchanged more often than rounds come.
+  /// Set while loads are exchanged more often than once per round.
   std::unique_ptr<Timer> m_exchange_timer;
 };
 
--- a/include/filbertrack/entry_prober.h
+++ b/include/filbertrack/entry_prober.h
@@ -1,19 +1,20 @@
 #pragma once
 
-/// Asks the hosts that groups are made of directly how they are.
+/// Health probes of the hosts that form groups, sent to the hosts directly.
 ///
-/// A question that is not answered soon is asked once more beside the first, on
-/// another connection; a host that answers neither is silent. One lost packet
-/// delays one question by the time until it is sent again, which is less than
-/// the second question takes, so a host is not given up for it. Asked one after
-/// the other the same two questions took 0.7 s and the waits between ticks.
+/// Probes are hedged: if the first probe of a round is not answered after a
+/// short delay, a second one is sent in parallel on another connection. A host
+/// that answers neither is silent. A single lost packet delays only one of the
+/// two probes, by its retransmission timeout, so it does not make a host
+/// silent. Sent one after the other, the two probes took 0.7 s plus the time
+/// between ticks.
 ///
-/// A prober whose own link or processor is late hears no answers either. It
-/// would declare hosts silent that live, and the planner would take their
-/// groups apart, until none serves. So a host counts as silent only while
-/// others that were asked at the same time answer; where most do not, nothing
-/// is said of those that fell silent, and what the store tells of lapsed
-/// registrations stands.
+/// A prober whose own link or processor is overloaded receives no answers
+/// either. It would report live hosts as silent, and the planner would dissolve
+/// their groups until none serves. A host therefore counts as silent only while
+/// other hosts that were probed at the same time answer. If most do not, no
+/// result is recorded for the unanswered hosts, and hosts are lost only by the
+/// expiry of their registrations in the store.
 
 #include <cstdint>
 #include <deque>
@@ -29,32 +30,36 @@
 namespace filbertrack {
 
 struct ProbePolicy {
-  /// How often members of groups are asked.
+  /// Interval between probe rounds to a member of a group.
   Duration interval = Milliseconds(500);
-  /// Hosts without a group are asked this many times less often.
+  /// Hosts without a group are probed this many times less often.
   int idle_divisor = 4;
-  /// Both questions end this long after the first was asked: twice the shortest
-  /// time after which a lost packet is sent again.
+  /// Timeout of a round, for both probes, from the first one on. Twice the
+  /// minimum TCP retransmission timeout.
   Duration timeout = Milliseconds(400);
+  /// Sends a second probe if the first one is not answered in time.
   bool hedged = true;
-  /// The second question follows after this: answers come within some 10 ms.
+  /// Delay of the second probe. Answers usually arrive within about 10 ms.
   Duration hedge_delay = Milliseconds(150);
-  /// Rounds that began up to this long before a silent host's are compared with
-  /// it: what delayed that one delayed them too.
+  /// An unanswered round is compared with the rounds of other hosts that
+  /// started up to this long before it, or later. An overload of the prober
+  /// delays those too.
   Duration comparison_window = Milliseconds(50);
-  /// At least this part of them must have been answered, once they had time to
-  /// be. Half: a third of the fleet may be lost at once.
+  /// Minimum share of the compared rounds that must have been answered for the
+  /// host to count as silent. Half, as a third of the fleet may fail at once.
   double min_answered = 0.5;
-  /// With fewer rounds to compare, too little is known to doubt oneself.
+  /// Minimum number of compared rounds. With fewer, an overload of the prober
+  /// cannot be detected.
   size_t min_rounds = 8;
-  /// A prober that is late asks less often, twice the interval each time, up to
-  /// this many times: a host with a twelfth of the capacity may have to stand
-  /// in, and lost hosts found late are better than none.
+  /// An overloaded prober doubles its probe interval, up to this factor. A host
+  /// with a twelfth of the capacity may have to act as prober, and it is better
+  /// to detect failed hosts late than not at all.
   int max_interval_factor = 16;
-  /// While questions are spread, part of the even rate that is allowed: over 1,
-  /// so that a host whose turn was late catches up.
+  /// While the interval is lengthened, ratio of the allowed probe rate to the
+  /// rate that probes every host once per interval. Above 1, so that delayed
+  /// probes can catch up.
   double rate_headroom = 1.5;
-  /// After so long without being late it asks twice as often again.
+  /// Time after a change of the interval until it is halved again.
   Duration recovery_interval = Seconds(10);
 };
 
@@ -71,66 +76,73 @@
               Schedule schedule);
   ~EntryProber();
 
-  /// Asks the hosts whose turn has come.
+  /// Starts a round for each host that is due, and drops hosts that are no
+  /// longer in the directory.
   void Tick(const ServerDirectory& directory, const Catalog& catalog);
 
-  /// Forgets what was found; answers that are still to come count no more.
+  /// Discards all results; answers to earlier probes are ignored.
   void Clear();
 
   const HostProbeResults& probe_results() const { return m_probe_results; }
 
-  /// Whether each host of the service was asked once: until then a host that
-  /// loads for an earlier controller looks idle.
+  /// Whether every host of the service that is not draining has completed a
+  /// round. Until then, a host that is loading weights on the order of an
+  /// earlier lease holder looks idle.
   bool AllProbed(const ServerDirectory& directory,
                  std::string_view service) const;
 
  private:
   struct ProbeState {
-    /// The latest round of questions to this host; 0: none yet.
+    /// Number of the latest round; 0: none yet.
     uint64_t round = 0;
+    /// Probes in flight, including a second one that is scheduled.
     int in_flight = 0;
+    /// The latest round was answered.
     bool answered = false;
-    /// At least one round ended.
+    /// At least one round has produced a result.
     bool completed = false;
     TimePoint started_at{};
-    /// Beginning of the first of the rounds that went unanswered in a row.
+    /// Start of the first of the consecutive rounds that were not answered and
+    /// not evaluated yet; nullopt if there is none.
     std::optional<TimePoint> unanswered_since{};
-    /// Of the registration that the rounds are about.
+    /// Start time of the registered process, Unix ms.
     uint64_t process_start_ms = 0;
   };
 
-  /// One round of questions to one host.
+  /// A probe round to one host.
   struct Round {
     TimePoint started_at;
     bool answered = false;
-    /// The host counted as silent already, so its silence says nothing.
+    /// The host was silent or gone already, so this round is not compared.
     bool was_silent = false;
   };
 
   enum class Verdict {
-    /// Others that were asked at that time, or since, answered.
+    /// The host is silent: enough of the compared rounds were answered, or
+    /// there are too few to compare.
     kSilent,
-    /// Most of them did not answer either, though they had time to.
+    /// The prober is overloaded: most of the compared rounds were not answered.
     kProberLate,
-    /// Questions are spread, and too few were asked since to tell.
+    /// The interval is lengthened, and there are too few rounds to compare yet.
     kUndecided,
   };
-  /// What it means that a host has not answered since it was asked then.
+  /// Evaluates why a host has not answered since `started_at`.
   Verdict Evaluate(TimePoint started_at) const;
   void OnUnanswered(const std::string& id, ProbeState& probe);
   bool IsSilent(std::string_view id) const;
   void MarkAnswered(uint64_t round);
   void ForgetOldRounds(TimePoint now);
+  /// Logs a change of `late`, and lengthens the interval if the prober is late.
   void UpdateLateness(bool late, TimePoint now);
   void RecoverInterval(TimePoint now);
-  /// How many hosts may be asked in this tick. While the intervals are
-  /// stretched, questions are spread over them: asked all at once they would
-  /// queue on the link again.
+  /// Returns how many hosts may be probed in this tick. While the interval is
+  /// lengthened, probes are spread evenly over it, because probes sent all at
+  /// once would queue on the link again.
   size_t RefillBudget(size_t hosts, TimePoint now);
-  /// What was found of an earlier process does not hold for the next one.
+  /// Discards the results of an earlier process of the server.
   void ForgetEarlierInstance(const BackendServer& server);
   void StartRound(const BackendServer& server);
-  /// The second question of the round, unless the first was answered.
+  /// Sends the second probe of the round unless the first one was answered.
   void SendHedge(const BackendServer& server, uint64_t round);
   void SendProbe(const BackendServer& server, Duration timeout);
   void OnProbeAnswer(const std::string& id,
@@ -144,18 +156,19 @@
   Schedule m_schedule;
   HostProbeResults m_probe_results;
   std::map<std::string, ProbeState, std::less<>> m_probes;
-  /// Rounds of all hosts, the oldest first; `m_forgotten_rounds` came before.
+  /// Recent rounds of all hosts, oldest first. Round number n is at index
+  /// n - 1 - m_forgotten_rounds.
   std::deque<Round> m_rounds;
   uint64_t m_forgotten_rounds = 0;
   bool m_was_late = false;
-  /// Intervals are this many times as long.
+  /// Factor by which the probe intervals are lengthened: a power of two.
   int m_interval_factor = 1;
-  /// Last change of it, or last time that the prober was late.
+  /// Time of the latest change of the factor.
   TimePoint m_factor_changed_at{};
-  /// Questions that may be asked, while they are spread.
+  /// Number of probes that may be sent now while the interval is lengthened.
   double m_budget = 0;
   TimePoint m_ticked_at{};
-  /// Replaced by Clear(); what was asked before it does not count.
+  /// Replaced by Clear(), so that answers to earlier probes are ignored.
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/include/filbertrack/entry_roster.h
+++ b/include/filbertrack/entry_roster.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// How an entry host finds the others: each writes a record of itself to the
-/// store and reads those of the rest. The common secret, by which peers know
-/// each other, lies there too.
+/// Discovery of the other entry hosts through the store: each host writes a
+/// record of itself and lists the records of the others. The shared secret with
+/// which peers authenticate each other is also kept in the store.
 
 #include <functional>
 #include <memory>
@@ -16,30 +16,32 @@
 namespace filbertrack {
 
 struct EntryRosterPolicy {
-  /// How often the records are read. Peers make themselves known with their
-  /// questions, so only the first readings matter to a host that can be
-  /// reached.
+  /// Interval between listings. Peers also introduce themselves with their
+  /// gossip requests, so a reachable host depends on the first listings only.
   Duration list_interval = Seconds(20);
-  /// Until a reading brings nothing new, they are read this often: each reading
-  /// costs as many calls as there are pages.
+  /// Interval until a listing returns no new host after
+  /// `initial_list_duration`. Each listing costs one store call per page.
   Duration initial_list_interval = Milliseconds(1500);
-  /// A reading may be seconds old: of a fleet that starts together the first
-  /// ones show nobody, or a part, whoever is there. A host that knows a part of
-  /// the others watches the store in vain, as if it were alone.
+  /// Minimum time after the start for which `initial_list_interval` applies.
+  /// Listings may be seconds old, so when a whole fleet starts at once the
+  /// first ones are empty or incomplete. A host that knows only part of the
+  /// fleet would watch the store needlessly, as if it were alone.
   Duration initial_list_duration = Seconds(3);
 };
 
 class EntryRoster {
  public:
   struct Events {
+    /// Called once, when the shared secret is known.
     std::function<void(const std::string& secret)> on_secret;
+    /// Called for every record of each listing, the own one included.
     std::function<void(const FleetHost& host, const std::string& address)>
         on_host;
-    /// The records were read whole.
+    /// Called when a listing is complete, before `on_host` for its records.
     std::function<void()> on_listed;
   };
 
-  /// `own` and `address` are what other hosts are told of this one.
+  /// `own` and `address` are published to the other hosts.
   EntryRoster(EventLoop& loop,
               FleetHost own,
               const Address& address,
@@ -52,14 +54,14 @@
  private:
   void LoadSecret();
   void OnSecret(const StoreResponse& answer);
-  /// Writes the record of this host unless `known`, the one in the store, says
-  /// the same already. A host that restarts has the address that it had, and
-  /// saves a write that conflicts and a second one.
+  /// Writes the record of this host unless `known`, the record in the store, is
+  /// the same. A restarted host usually keeps its address and then saves two
+  /// writes: a conflicting one and its retry.
   void EnsureRegistered(const StoredObject* known);
   void Register(uint64_t expected_version);
   std::string OwnRecord() const;
   void List();
-  /// True if a host was not known before.
+  /// True if the listing holds a host that was not known before.
   bool OnListed(const std::vector<StoredObject>& records);
 
   EventLoop& m_loop;
@@ -70,9 +72,9 @@
   Events m_events;
   TimePoint m_started;
   std::string m_proposed_secret;
-  /// The own record is written, or is being written, or need not be.
+  /// The own record is current or a write of it has been started.
   bool m_registration_begun = false;
-  /// Keys of the records that were read so far.
+  /// Keys of all records listed so far.
   std::set<std::string, std::less<>> m_known_keys;
   Duration m_start_backoff{0};
   std::unique_ptr<Timer> m_retry_timer;
--- a/source/entry_control.cc
+++ b/source/entry_control.cc
@@ -14,11 +14,11 @@
 
 using Json = nlohmann::json;
 
-/// How often an entry host without the lease looks at its own state.
+/// Interval between ticks of an entry host that does not hold the lease.
 constexpr Duration kFollowerInterval = Milliseconds(200);
 constexpr Duration kCountsLogInterval = Seconds(1);
 
-/// One order in words, for logs.
+/// Log fields of an order.
 struct OrderToJson {
   Json operator()(const JoinGroup& order) const {
     return {
@@ -41,7 +41,7 @@
   }
 };
 
-/// Hosts that an order goes to.
+/// Hosts that an order is sent to.
 struct OrderRecipients {
   std::vector<std::string> operator()(const JoinGroup& order) const {
     return order.members;
@@ -74,8 +74,8 @@
       m_host(host),
       m_peers(peers),
       m_engines(engines),
-      // Two processes of one name must not take each other's lease for their
-      // own.
+      // The start time distinguishes two processes with the same name, so that
+      // neither mistakes the other's lease for its own.
       m_lease(node + kHolderSeparator + std::to_string(WallTimeMs()),
               policy.lease,
               records,
@@ -104,8 +104,8 @@
   if (m_stopping) {
     return;
   }
-  // Only hosts that watch the store anyway stand for the lease: with one
-  // reading a host, the calls would grow with the fleet.
+  // Only the hosts that watch the store compete for the lease. If every host
+  // read the lease record, store calls would grow with the fleet.
   m_lease.Tick(m_peers.watches());
   YieldToStronger(MonotonicNow());
   const bool holds = holds_lease();
@@ -155,8 +155,8 @@
   m_lease.Release();
 }
 
-/// A report that arrives may be what the next order waits for; the tick alone
-/// would add half its interval to every step of a repair.
+/// A changed report may allow the next order of a repair. Waiting for the next
+/// tick would add half of the tick interval on average to each step.
 void EntryControl::SchedulePass() {
   if (m_pass_pending || !holds_lease()) {
     return;
@@ -247,15 +247,15 @@
 
 void EntryControl::SendOrder(const std::string& host_id,
                              const ReplicaOrder& order) {
-  // A host whose registration lapsed may still answer.
+  // A host whose registration has expired may still respond.
   const BackendServer* host = m_host.directory().FindLast(host_id);
-  // Asked on the clock right before the send: a process that was paused since
-  // its decision may have lost the lease, and engines that ignore fencing
-  // numbers would obey it.
+  // The lease is checked against the clock right before the send. A process
+  // that was paused since planning may have lost it, and engines that ignore
+  // fences would carry out the order.
   if (host == nullptr || !holds_lease()) {
     return;
   }
-  // It may have waited since before the evacuation.
+  // The order may have been queued before the evacuation.
   if (m_host.evacuations().Contains(host->data_centre)) {
     Log(LogLevel::kInfo, "order-dropped",
         {{"host", host_id}, {"evacuated", host->data_centre}});
@@ -283,7 +283,7 @@
     OnOrderAnswered(order, memory->second);
   }
   const auto* leave = std::get_if<LeaveGroup>(&order);
-  // Where another process has the address, the host's own has ended.
+  // If another process has the address, the host's own process has ended.
   const bool has_left =
       result == OrderResult::kAccepted || result == OrderResult::kWrongServer;
   if (leave == nullptr || !has_left) {
--- a/source/entry_lease.cc
+++ b/source/entry_lease.cc
@@ -14,16 +14,16 @@
 using Json = nlohmann::json;
 
 constexpr std::string_view kLeaseRecord = "groups-lease";
-/// Challengers spread over this time, so that one of them usually wins without
-/// a conflict.
+/// Challengers for an expired lease are spread over this time, so that one of
+/// them usually wins without a conflict.
 constexpr Duration kRankSpread = Milliseconds(400);
 constexpr uint64_t kRankSteps = 1000;
-/// A call that is not answered within this time is made again. Some calls are
-/// never answered; with a wait of a second, one of them would cost the lease.
-/// Two tries fit into the time between a renewal and the lapse.
+/// Timeout after which a store call is repeated. Some calls are never answered,
+/// and with a timeout of one second a single one of them would lose the lease.
+/// Two attempts fit between the time of a renewal and the expiry.
 constexpr Duration kCallTimeout = Milliseconds(400);
 
-/// The entry host of a holder.
+/// Name of the entry host in the name of a holder.
 std::string_view NodeOf(std::string_view holder) {
   return holder.substr(0, holder.rfind(kHolderSeparator));
 }
@@ -42,8 +42,8 @@
                      json["fence"].is_number_unsigned();
   if (!valid) {
     return Fail(ResultCode::kResourceInvalid,
-                "the lease record holds '" + text +
-                    "'; it must name a holder and a fence.");
+                "invalid lease record '" + text +
+                    "': it must contain a holder and a fence.");
   }
   return DomainLease{json["holder"].get<std::string>(),
                      json["fence"].get<uint64_t>()};
@@ -113,8 +113,8 @@
 }
 
 void EntryLease::OnRead(const StoreResponse& answer) {
-  // No answer tells nothing: a store that is down must not make a live holder
-  // look dead.
+  // A failed read is no evidence: an outage of the store must not make a live
+  // holder look dead.
   if (answer.status == StoreStatus::kUnavailable || IsHeld()) {
     return;
   }
@@ -130,10 +130,10 @@
   if (!ApplyRecord(answer.object)) {
     return;
   }
-  // The process that held it has ended, since this one has its name: after a
-  // loss of power of all hosts the groups had nobody for 2.6 s, the time after
-  // which others may conclude the same. The new fence refuses what the earlier
-  // process still has under way.
+  // If the holder is an earlier process of this entry host, it has ended, so
+  // there is no need to wait for the expiry. Waiting left the groups without a
+  // lease holder for 2.6 s after a power failure of all hosts. Orders of the
+  // earlier process that are still in flight are refused by the new fence.
   const bool is_own_lease = NodeOf(m_lease.holder) == NodeOf(m_holder);
   const bool may_take =
       is_own_lease ||
@@ -151,7 +151,7 @@
     Log(LogLevel::kError, "lease-invalid", {{"why", lease.error().message}});
     return false;
   }
-  // A stale read must not take back what a write has shown.
+  // A stale read must not replace the newer result of a write.
   if (record.version < m_version) {
     return false;
   }
@@ -193,8 +193,8 @@
   if (answer.status != StoreStatus::kConflict || !ApplyRecord(answer.object)) {
     return;
   }
-  // The conflict may be with an earlier write of this process, whose answer was
-  // lost. It took effect after it began.
+  // The conflict may be with an earlier write of this process whose answer was
+  // lost. That write took effect after it was started.
   if (m_lease.holder == m_holder && m_unanswered_since) {
     OnConfirmed(m_lease, *m_unanswered_since);
   }
--- a/source/entry_peers.cc
+++ b/source/entry_peers.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// The store holds values up to 1 MiB; the text here may be spaced otherwise.
+/// Maximum size of a decompressed configuration. The store accepts values up to
+/// 1 MiB; the text that peers send may contain more whitespace.
 constexpr size_t kMaxConfigBytes = 4 * 1024 * 1024;
 
 }  // namespace
@@ -70,7 +71,7 @@
       });
   Address bound;
   if (!m_server->Listen(m_listen, &bound)) {
-    // The others' answers still reach this host.
+    // Replies to this host's own requests still arrive.
     Log(LogLevel::kError, "peers-not-listening",
         {{"address", m_listen.ToString()}});
   }
@@ -104,7 +105,8 @@
 }
 
 bool EntryPeers::IsLocal(std::string_view data_centre) const {
-  // A small fleet needs no sums: each host hears all others in every round.
+  // A small fleet needs no sums, as each host exchanges its state with all
+  // others in every round.
   return data_centre.empty() || data_centre == m_own.data_centre ||
          m_peers.size() <= m_policy.neighbours;
 }
@@ -118,8 +120,8 @@
       evacuations == m_announced_evacuations) {
     return;
   }
-  // Registrations change often, so only those who hear of it from the store
-  // tell the others at once.
+  // Registrations change often, so only hosts that watch the store send them at
+  // once; the others wait for the next round.
   const bool announces = m_watching || config != m_announced_config ||
                          evacuations != m_announced_evacuations;
   m_announced_evacuations = evacuations;
@@ -165,8 +167,9 @@
     return;
   }
   std::vector<std::string> hosts = m_gossip.Hosts(now);
-  // A host that hears few of the others may be cut off from them: they have one
-  // that lets a copy through as well.
+  // A host that receives messages from less than half of its peers may be
+  // partitioned from them. The other side has a host that sends trial copies
+  // too, so this one sends none.
   if (hosts.size() * 2 < m_peers.size()) {
     hosts.clear();
   } else {
@@ -234,8 +237,8 @@
         {{"peer", name}});
   }
   const TimePoint now = MonotonicNow();
-  // Whatever it says: a fetch begins with its own question, and a peer has one
-  // question at a time.
+  // Regardless of the content: a fetch starts with a request of its own, and
+  // each peer has at most one request in flight.
   m_config_fetch.End(name, now);
   m_servers_fetch.End(name, now);
   if (payload == nullptr) {
@@ -249,7 +252,7 @@
   }
   RecordState(reply->state, now);
   if (!reply->state.remote_loads.empty()) {
-    // A relay's answer is the freshest there is.
+    // A relay's reply holds the newest loads available.
     UpdateRemoteLoads(now);
   }
   peer->second.known_poison_revision = reply->poison.revision;
@@ -296,8 +299,8 @@
            requester.store_fails},
           requester.address);
   answer(MakeReply(*request));
-  // The asker may know more: it is asked back at once, so that a change passes
-  // on at the speed of the network and not of the rounds.
+  // If the requester has newer data, it is sent a request at once, so that
+  // changes spread without waiting for the next round.
   FetchNewer(requester.node, requester);
 }
 
@@ -328,7 +331,7 @@
   Result<Catalog> catalog =
       text ? m_decoder.ReadCatalog(*text)
            : Fail(ResultCode::kResourceInvalid,
-                  "the configuration cannot be unpacked, or is over " +
+                  "the configuration cannot be decompressed or exceeds " +
                       std::to_string(kMaxConfigBytes) + " bytes.");
   if (catalog) {
     m_host.OnCatalog(std::make_shared<const Catalog>(std::move(*catalog)),
--- a/source/entry_peers_loads.cc
+++ b/source/entry_peers_loads.cc
@@ -3,8 +3,8 @@
 
 #include "filbertrack/entry_peers.h"
 
-/// The part of the exchange between entry hosts that concerns their work at the
-/// targets: which hosts are asked for it, and what the board is told.
+/// Load exchange of EntryPeers: which hosts are sent requests for loads, and
+/// how the result reaches the target selection.
 
 namespace filbertrack {
 
@@ -18,7 +18,7 @@
 
 void EntryPeers::ExchangeLoads(TimePoint now) {
   if (m_peers.size() <= m_policy.neighbours) {
-    // Each host hears all others in every round.
+    // Each host exchanges its state with all others in every round.
     m_exchange_timer.reset();
     return;
   }
@@ -39,7 +39,7 @@
       AskRelay(relays, now);
     }
   }
-  // Otherwise the rounds are often enough.
+  // An interval of a round or longer needs no timer of its own.
   if (interval >= m_policy.interval) {
     m_exchange_timer.reset();
   } else if (m_exchange_timer == nullptr) {
@@ -66,7 +66,7 @@
       TryAsk(peer->first, peer->second, now);
     }
   }
-  // A copy: an answer may change the roles.
+  // A copy, as a reply may change the cached roles within the loop.
   const auto remote_data_centres = CurrentRoles(now).remote_data_centres;
   for (const std::string& data_centre : remote_data_centres) {
     AskDataCentre(data_centre, now);
@@ -74,7 +74,7 @@
 }
 
 void EntryPeers::AskDataCentre(const std::string& data_centre, TimePoint now) {
-  // Relays hear more of the others than other hosts do.
+  // Relays first: they receive the state of more hosts than others do.
   std::vector<std::string> names;
   const Roles& roles = CurrentRoles(now);
   const auto relays = roles.relays.find(data_centre);
@@ -100,7 +100,8 @@
 
 void EntryPeers::UpdateRemoteLoads(TimePoint now) {
   const FleetGossip::Loads live = m_gossip.SumLoads(now);
-  // Later a host that is listed and not heard has most likely gone.
+  // After the grace period, a listed host that sent no message is most likely
+  // gone.
   const size_t unreported_hosts =
       IsStartingUp(now) && m_peers.size() > live.hosts
           ? m_peers.size() - live.hosts
--- a/source/entry_peers_roles.cc
+++ b/source/entry_peers_roles.cc
@@ -5,8 +5,8 @@
 #include "filbertrack/entry_peers.h"
 #include "filbertrack/log.h"
 
-/// The part of the exchange between entry hosts that finds out who does what
-/// for the others: who watches the store, and who passes loads on.
+/// Roles in EntryPeers: which hosts watch the store, and which relay loads
+/// between data centres.
 
 namespace filbertrack {
 
--- a/source/entry_prober.cc
+++ b/source/entry_prober.cc
@@ -83,7 +83,7 @@
 void EntryProber::ForgetEarlierInstance(const BackendServer& server) {
   ProbeState& probe = m_probes[server.id];
   if (IsNewerInstance(server.process_start_ms, probe.process_start_ms)) {
-    // Answers that are still to come belong to a round that is none now.
+    // Answers still in flight carry the number of a discarded round.
     probe = ProbeState{};
     m_probe_results.erase(server.id);
   }
@@ -101,7 +101,8 @@
     SendProbe(server, m_policy.timeout);
     return;
   }
-  // Counted as open already, so that the round does not end before it is asked.
+  // Counted as in flight already, so that a failed first probe does not end the
+  // round before the second one is sent.
   ++probe.in_flight;
   m_schedule(m_policy.hedge_delay, [this, server, round, alive = m_alive] {
     if (*alive) {
@@ -230,7 +231,7 @@
   if (!late) {
     return;
   }
-  // What was asked before the latest change still comes back late.
+  // Probes that were sent before the latest change are still answered late.
   const Duration settle_time = m_policy.timeout + m_policy.interval;
   if (m_interval_factor < m_policy.max_interval_factor &&
       now - m_factor_changed_at > settle_time) {
--- a/source/entry_roster.cc
+++ b/source/entry_roster.cc
@@ -12,16 +12,18 @@
 
 constexpr std::string_view kSecretRecord = "peer-secret";
 constexpr std::string_view kHostPrefix = "entry-host-";
-/// Between the address, the data centre and the capacity in the record of an
+/// Separates the address, the data centre and the capacity in the record of an
 /// entry host.
 constexpr char kFieldSeparator = ' ';
-/// Between tries to read or write the records that a start needs: the first
-/// pause, doubled up to the longest. Without peers a host that starts while the
-/// store is away knows nothing until it is back.
+/// Exponential backoff for reading the secret, and the fixed delay
+/// kMaxStartBackoff for writing the host's record. Short, because a host
+/// without the secret has no peers, and if it starts during a store outage it
+/// has no configuration either until the outage ends.
 constexpr Duration kMinStartBackoff = Milliseconds(60);
 constexpr Duration kMaxStartBackoff = Milliseconds(500);
 
-/// Takes the text up to the next separator off `rest`.
+/// Removes the first field and its separator from `rest`, and returns the
+/// field.
 std::string_view TakeField(std::string_view& rest) {
   const size_t end = std::min(rest.find(kFieldSeparator), rest.size());
   const std::string_view field = rest.substr(0, end);
@@ -54,7 +56,8 @@
   m_records.Read(
       std::string(kSecretRecord), [this](const StoreResponse& answer) {
         if (answer.status == StoreStatus::kNotFound) {
-          // The first writer wins; the others are told what it wrote.
+          // The first writer wins; for the others the conflict returns its
+          // secret.
           m_records.Write(
               std::string(kSecretRecord), m_proposed_secret, 0,
               [this](const StoreResponse& written) { OnSecret(written); });
@@ -97,8 +100,8 @@
         if (answer.status == StoreStatus::kOk) {
           return;
         }
-        // An earlier process of this name left a record; this one's address
-        // replaces it.
+        // On a conflict, an earlier process of this host left a record, which
+        // is overwritten.
         const uint64_t version =
             answer.status == StoreStatus::kConflict ? answer.object.version : 0;
         m_retry_timer = m_loop.After(kMaxStartBackoff,
--- a/source/entry_settings.cc
+++ b/source/entry_settings.cc
@@ -10,8 +10,8 @@
   return {std::move(default_value), false, {"yes", "no"}};
 }
 
-/// Part of the retries that the rules allow; the rest covers requests that
-/// servers refuse, which count as well.
+/// Share of the allowed retries that is used. The rest covers requests that
+/// servers refuse, which count as retries as well.
 constexpr double kRetryShare = 0.7;
 
 }  // namespace
@@ -43,75 +43,79 @@
 SettingsSchema EntrySchema() {
   return SettingsSchema({
       {"node", "name", TextKey{"", true, {}},
-       "Name of this entry host, the only one of its kind in the fleet."},
+       "Name of this entry host; must be unique in the fleet. Leases are held "
+       "under it."},
       {"node", "data_centre", TextKey{"", true, {}},
-       "Data centre that this entry host stands in."},
+       "Data centre of this entry host."},
       {"node", "link_mbps", NumberKey{1000, 0.001, 1e6},
-       "Bandwidth of this host's link: stronger hosts do more for the others."},
+       "Bandwidth of this host's link, in Mbit/s; hosts with more capacity "
+       "take on more tasks for the fleet."},
       {"node", "processor_share", NumberKey{1, 0.001, 1e4},
-       "Cores that this host's process may use, or the part of one."},
+       "Number of cores that this host's process may use; may be a fraction."},
       {"node", "first_start", YesOrNo("no"),
        "Whether the whole fleet starts for the first time."},
       {"node", "memory_mb", NumberKey{512, 1, 1e7},
-       "Memory that this host's process may use, in MiB: a quarter of it "
-       "bounds "
-       "what is held for callers."},
+       "Memory that this host's process may use, in MiB; a quarter of it "
+       "limits the data buffered for callers."},
       {"node", "regions", TextKey{"", false, {}},
-       "Region of each data centre, as DATA-CENTRE:REGION pairs with commas "
-       "between them; empty: there is one region."},
+       "Region of each data centre, as comma-separated DATA-CENTRE:REGION "
+       "pairs; empty: there is one region."},
       {"evacuations", "watched", YesOrNo("no"),
-       "Whether the operator may evacuate data centres here; it takes a "
-       "further "
-       "watch of the store."},
+       "Whether this entry host watches the store for data centres that the "
+       "operator evacuates; takes one more watch."},
       {"log", "level",
        TextKey{"info", false, {"debug", "info", "warning", "error"}},
-       "Lowest level that is written."},
+       "Minimum level of the log lines that are written."},
       {"callers", "listen", AddressKey{"0.0.0.0:8080"},
-       "Where callers' requests arrive."},
+       "Address for callers' requests."},
       {"callers", "unread_timeout",
        DurationKey{Seconds(10), Milliseconds(100), Seconds(600)},
-       "A caller that takes no byte of its answer for this long is let go."},
+       "Time after which a caller that reads none of its response is "
+       "disconnected."},
       {"ready", "listen", AddressKey{"0.0.0.0:8081"},
-       "Where readiness and metrics are read."},
+       "Address for readiness checks and metrics."},
       {"peers", "listen", AddressKey{"0.0.0.0:8090"},
-       "Where other entry hosts ask this one; they are told this address."},
+       "Address for requests of other entry hosts; published to them."},
       {"store", "address", AddressKey{""},
        "Address of the platform's metadata store."},
       {"stop", "grace", DurationKey{Seconds(8), Seconds(1), Seconds(600)},
        "Time from a stop signal until the platform ends the process."},
       {"retries", "ratio", NumberKey{0.2, 0, 1},
-       "Retries allowed of each service, as a part of its requests."},
+       "Retries allowed for each service, as a fraction of its requests."},
       {"retries", "slack", NumberKey{100, 0, 1e6},
-       "Retries allowed beside that, by all entry hosts in one window."},
+       "Retries allowed in addition, for all entry hosts together in one "
+       "window."},
       {"retries", "entry_hosts", IntegerKey{8, 1, 10000},
-       "Entry hosts that share the slack."},
+       "Number of entry hosts that share the slack, until gossip reports it."},
       {"groups", "stall",
        DurationKey{Seconds(5), Milliseconds(100), Seconds(600)},
-       "A group's head that lost a member holds its requests for this long."},
+       "Time for which the head of a group that lost a member holds its "
+       "requests."},
       {"groups", "spares_per_domain", IntegerKey{2, 0, 1000},
        "Hosts kept free in each fabric domain for repairs."},
       {"mechanisms", "looks_wider", YesOrNo(),
-       "More targets are looked at before a request is turned away."},
+       "More targets are considered before a request is rejected."},
       {"mechanisms", "pauses_failing", YesOrNo(),
-       "Targets that fail are left out for a while."},
+       "Targets that fail are excluded for a time."},
       {"mechanisms", "learns_speed", YesOrNo(),
-       "Predictions follow what was measured at each target."},
+       "Predictions are adjusted to the times measured at each target."},
       {"mechanisms", "prefers_near", YesOrNo(),
-       "In large fleets targets of the own data centre go first."},
+       "In large fleets, targets in the local data centre are preferred."},
       {"mechanisms", "assumes_unheard", YesOrNo(),
-       "After a start, hosts that were not heard count as busy as this one."},
+       "After a start, entry hosts that have not reported yet are assumed to "
+       "be as busy as this one."},
       {"mechanisms", "moves_silent", YesOrNo(),
-       "A stream that falls silent is taken up by another group."},
+       "A stream that stalls is continued by another group."},
       {"mechanisms", "asks_twice", YesOrNo(),
-       "A host is asked a second time before it counts as silent."},
+       "A second probe is sent before a host counts as silent."},
       {"mechanisms", "repeats_joins", YesOrNo(),
-       "Orders to join are given again to members that do not begin."},
+       "Join orders are repeated to members that do not start joining."},
       {"mechanisms", "follows_demand", YesOrNo(),
-       "The models' shares follow what is asked of them."},
+       "The models' shares of the hosts follow the demand."},
       {"mechanisms", "converts_idle", YesOrNo(),
        "Idle hosts of one model load another that lacks groups."},
       {"mechanisms", "warms_spares", YesOrNo(),
-       "Spares hold their weights in memory."},
+       "Spare hosts keep their weights in memory."},
       {"control", "takes_lease", TextKey{"yes", false, {"yes", "no"}},
        "Whether this entry host may hold the lease on the groups."},
   });
--- a/tests/entry_outbox_test.cc
+++ b/tests/entry_outbox_test.cc
@@ -5,9 +5,10 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("three thousand orders leave in batches, in their order") {
-  // The holder orders every host of a fleet at its start. Were all sent in one
-  // turn of its loop, its lease would lapse meanwhile.
+TEST_CASE("three thousand orders are sent in batches, first in, first out") {
+  // After a start of the fleet the lease holder sends an order to every host.
+  // If all were sent in one iteration of the event loop, the lease would expire
+  // before it could be renewed.
   EntryOutbox outbox;
   for (int i = 0; i < 3000; ++i) {
     outbox.Push("h" + std::to_string(i), StageModel{"h", "m"});
--- a/tests/entry_prober_test.cc
+++ b/tests/entry_prober_test.cc
@@ -10,7 +10,7 @@
 namespace filbertrack {
 namespace {
 
-/// A host that is asked and time that the test moves.
+/// A prober with one host, and a clock that the test advances.
 class ProbedHost : public EngineClient {
  public:
   ProbedHost()
@@ -49,7 +49,7 @@
        [done, answer] { done(answer); });
   }
 
-  /// Which of the next questions are lost; those after them are, too.
+  /// Sets which of the next probes are lost. All probes after these are lost.
   void Lose(std::deque<bool> lost) { m_losses = std::move(lost); }
 
   void RunFor(Duration time) {
@@ -90,9 +90,9 @@
   ServerDirectory m_directory{DirectoryPolicy{}};
 };
 
-TEST_CASE("a silent host is found within the patience of one round") {
-  // Callers of a group wait until its lost member is noticed. Both questions
-  // are under way at once, so that takes 0.4 s after the first was asked.
+TEST_CASE("a silent host is detected within the timeout of one round") {
+  // Callers of a group wait until the loss of a member is detected. The two
+  // probes of a round run in parallel, so that takes 0.4 s from the first one.
   ProbedHost host;
   host.RunFor(Milliseconds(390));
   CHECK(host.health() == HostHealth::kAnswers);
@@ -102,9 +102,9 @@
   CHECK(host.prober.probe_results().at("h").health == HostHealth::kSilent);
 }
 
-TEST_CASE("one lost question does not make a host silent") {
-  // The host lives and a packet was lost. Were it given up, its group would be
-  // taken apart and every stream there would break.
+TEST_CASE("one lost probe does not make a host silent") {
+  // The host is alive and a packet was lost. If the host counted as silent, its
+  // group would be dissolved and all streams of the group would break.
   ProbedHost host;
   host.Lose({true, false});
   host.RunFor(Milliseconds(450));
@@ -112,7 +112,7 @@
   CHECK(host.health() == HostHealth::kAnswers);
 }
 
-TEST_CASE("a host that answers is asked once a round") {
+TEST_CASE("a host that answers is probed once a round") {
   ProbedHost host;
   host.Lose({false, false, false});
   host.RunFor(Milliseconds(990));
@@ -120,7 +120,7 @@
   CHECK(host.health() == HostHealth::kAnswers);
 }
 
-TEST_CASE("a host that was silent and answers again is heard") {
+TEST_CASE("a silent host that answers again counts as healthy") {
   ProbedHost host;
   host.Lose({true, true, false});
   host.RunFor(Milliseconds(450));
@@ -129,7 +129,7 @@
   CHECK(host.health() == HostHealth::kAnswers);
 }
 
-TEST_CASE("answers to questions of an earlier lease do not count") {
+TEST_CASE("answers to probes of an earlier lease are ignored") {
   ProbedHost host;
   host.RunFor(Milliseconds(200));
   host.prober.Clear();
@@ -137,8 +137,8 @@
   CHECK(host.health() == HostHealth::kAnswers);
 }
 
-/// Forty hosts, some of which do not answer, asked by a prober whose own link
-/// may stand still.
+/// Forty hosts, some of which may be dead, and a prober whose own link may be
+/// slow or blocked.
 class ProbedFleet : public EngineClient {
  public:
   static constexpr int kHosts = 40;
@@ -206,7 +206,7 @@
   ServerDirectory directory{DirectoryPolicy{}};
   std::set<std::string> dead;
   bool link_blocked = false;
-  /// On the prober's link.
+  /// Time that one probe occupies the prober's link.
   Duration transfer_time{0};
   int probes = 0;
 
@@ -218,9 +218,10 @@
 };
 
 TEST_CASE(
-    "a weak host that stands in as prober asks less often and still finds") {
-  // Forty hosts twice a second are more questions than its link carries. It
-  // declares nobody silent that lives, and finds the one that is lost.
+    "a weak host that acts as prober probes less often and still detects "
+    "losses") {
+  // Probing forty hosts twice a second exceeds the capacity of its link. It
+  // must not report live hosts as silent, and must detect the one that is dead.
   ProbedFleet fleet;
   fleet.transfer_time = Milliseconds(20);
   fleet.RunFor(Seconds(8));
@@ -228,7 +229,7 @@
   fleet.dead.insert("h105");
   fleet.RunFor(Seconds(5));
   CHECK(fleet.CountSilent() == 1);
-  // Once there is room it asks as often as any other.
+  // When the link is fast again, it returns to the regular interval.
   fleet.transfer_time = Duration(0);
   fleet.RunFor(Seconds(40));
   fleet.probes = 0;
@@ -236,10 +237,10 @@
   CHECK(fleet.probes >= 4 * ProbedFleet::kHosts);
 }
 
-TEST_CASE("a prober that hears nobody declares nobody silent") {
-  // Its own link is full for two seconds. Were all hosts declared silent, the
-  // planner would close every group, and callers of the whole fleet would be
-  // turned away.
+TEST_CASE("a prober that receives no answers reports no host as silent") {
+  // The prober's own link is blocked for two seconds. If all hosts were
+  // reported as silent, the planner would close every group, and requests to
+  // the whole fleet would be rejected.
   ProbedFleet fleet;
   fleet.RunFor(Seconds(2));
   fleet.link_blocked = true;
@@ -250,8 +251,8 @@
   CHECK(fleet.CountSilent() == 0);
 }
 
-TEST_CASE("a third of the fleet lost at once is found within a round") {
-  // As soon as with one host lost: 0.4 s after the next question.
+TEST_CASE("the loss of a third of the fleet is detected within a round") {
+  // As fast as the loss of one host: 0.4 s after the next probe.
   ProbedFleet fleet;
   fleet.RunFor(Seconds(2));
   for (int i = 0; i < ProbedFleet::kHosts / 3; ++i) {
@@ -259,8 +260,8 @@
   }
   fleet.RunFor(Milliseconds(920));
   CHECK(fleet.CountSilent() == ProbedFleet::kHosts / 3);
-  // Half of what is left goes too: those that are silent already do not make
-  // the prober doubt itself.
+  // Half of the remaining hosts fail too. Hosts that are silent already must
+  // not count as a sign that the prober is overloaded.
   for (int i = 0; i < 26; ++i) {
     fleet.dead.insert("h" + std::to_string(100 + i));
   }
--- a/tests/entry_roster_test.cc
+++ b/tests/entry_roster_test.cc
@@ -31,12 +31,13 @@
   EntryRoster roster;
 };
 
-TEST_CASE("a host writes its record once, and none when it starts again") {
-  // All hosts of a fleet lose power and start at the addresses that they had.
+TEST_CASE("a host writes its record once, and not again after a restart") {
+  // Guards against needless writes when all hosts of a fleet restart at once,
+  // with the addresses that they had, after a power failure.
   EventLoop loop;
   InMemoryRecordStore records;
   const StartedRoster first(loop, records, "a");
-  // The peers' secret, and the record.
+  // One write for the shared secret and one for the record.
   CHECK(records.writes == 2);
   const StartedRoster second(loop, records, "b");
   CHECK(records.writes == 3);
@@ -48,7 +49,7 @@
   CHECK(records.writes == 3);
 }
 
-TEST_CASE("a record of an earlier address is replaced") {
+TEST_CASE("a record with an earlier address is replaced") {
   EventLoop loop;
   InMemoryRecordStore records;
   const StartedRoster first(loop, records, "a");
--- a/tests/in_memory_record_store.h
+++ b/tests/in_memory_record_store.h
@@ -9,7 +9,7 @@
 
 namespace filbertrack {
 
-/// Records of a store that answers at once, and the calls that it got.
+/// In-memory store that answers calls synchronously and counts the writes.
 class InMemoryRecordStore : public RecordStore {
  public:
   void Read(const std::string& name,
--- a/tests/run_until.h
+++ b/tests/run_until.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Runs a loop until something holds, for tests that wait for sockets.
+/// Runs an event loop until a condition holds, for tests with sockets.
 
 #include <event2/event.h>
 
@@ -8,10 +8,10 @@
 
 namespace filbertrack {
 
-/// Ends a test that waits for something that never comes.
+/// Timeout after which a wait ends even if its condition does not hold.
 inline constexpr Duration kTestTimeout = Seconds(30);
 
-/// False where the limit came first.
+/// Runs the loop until `done()` returns true. False if it timed out.
 template <typename Done>
 bool RunUntil(EventLoop& loop, Done done) {
   bool has_timed_out = false;
