--- a/tests/platform_backpressure_test.cc
+++ b/tests/platform_backpressure_test.cc
@@ -5,13 +5,15 @@
 
 #include "platform_site.h"
 
-/// Backend servers that say how much they take, through the whole path of
-/// several entry hosts against stand-ins of the platform.
+/// Tests that entry hosts obey the load signals of backend servers: rate
+/// limits, Retry-After and announced shutdowns. They cover the whole request
+/// path of one or several entry hosts, with stand-ins for the platform.
 
 namespace filbertrack {
 namespace {
 
-/// What the platform allows of a limit of `per_second` in any four seconds.
+/// Maximum number of requests that the platform tolerates in any four seconds
+/// under a limit of `per_second`.
 constexpr Duration kLimitWindow = Seconds(4);
 size_t MaxInWindow(double per_second) {
   return static_cast<size_t>(1.5 * per_second * ToSeconds(kLimitWindow) + 5);
@@ -32,7 +34,7 @@
     });
   }
 
-  /// One more request that may be repeated, to each entry host in turn.
+  /// Sends an idempotent request to the next entry host, round robin.
   CallerResponse SendNext() {
     ++sent;
     const EntryNode& node = *nodes[sent % nodes.size()];
@@ -44,8 +46,8 @@
     return response;
   }
 
-  /// Asks until each entry host has had an answer of each server, so that each
-  /// was told what the servers say.
+  /// Sends requests until each entry host has received a response, and with it
+  /// the signals, of each server.
   void SendUntilAnnounced() {
     const size_t enough = plain.size() * nodes.size() * 4;
     for (size_t i = 0; i < enough; ++i) {
@@ -57,8 +59,8 @@
   size_t sent = 0;
 };
 
-/// The most requests that arrived in any four seconds, from the one numbered
-/// `first` on.
+/// Returns the maximum number of requests that arrived in any four seconds,
+/// ignoring those before index `first`.
 size_t MaxArrivals(const PlatformRunnerStandin& server, size_t first) {
   const std::vector<SeenRequest>& seen = server.seen();
   size_t max_count = 0;
@@ -72,14 +74,12 @@
   return max_count;
 }
 
-TEST_CASE("limit: a server gets no more than it named from all entry hosts") {
-  // Two of some fifteen heads of one model named a limit of 1.7 requests a
-  // second and went on to get 4.7, up to 19 in four seconds, from six entry
-  // hosts. No entry host read the limit, so none held it; had each read it for
-  // itself alone, six together would still have sent six times as much. No host
-  // sent more than 3 a second by itself: the harm adds up over the fleet. Here
-  // every host had passed an answer with the limit on, `placed` lines of all of
-  // them bore rate_limit 0.5, and the servers got 40 and 20 requests of 60.
+TEST_CASE("limit: all entry hosts together respect a server's rate limit") {
+  // Guards against a limit that entry hosts do not read, or that each applies
+  // to its own requests only. Two heads that announced 1.7 requests a second
+  // received 4.7, up to 19 in four seconds, from six entry hosts, none of which
+  // sent more than 3 a second. Without the limit, the servers of this test get
+  // 40 and 20 of the 60 requests.
   constexpr double kLimit = 0.5;
   PressureSite site(3);
   REQUIRE(site.WaitUntilReady());
@@ -99,13 +99,14 @@
   }
 }
 
-/// Requests that the platform allows of an entry host to a server that asked it
-/// for rest, from this long after that until the end of the rest.
+/// Requests that the platform tolerates from an entry host to a server that
+/// asked it to back off, between the grace time after the refusal and the end
+/// of the backoff.
 constexpr size_t kMaxWhileResting = 2;
 constexpr Duration kBackoffGrace = Milliseconds(500);
 
-/// Callers that begin a stream at even intervals, whatever becomes of those
-/// before.
+/// Starts a stream at regular intervals, regardless of the state of earlier
+/// ones.
 class StreamCallers {
  public:
   StreamCallers(Site& site, Duration interval)
@@ -136,15 +137,13 @@
   std::unique_ptr<Timer> m_timer;
 };
 
-TEST_CASE("rest: a server that asks for rest is left alone until it is over") {
-  // Two heads turned all requests away and named a rest of three seconds. An
-  // entry host came back after 0.5, 0.9, 0.7 and 0.5 s, each time with a
-  // request that another server then answered. It did not read the rest: a
-  // target that refuses was left out for 0.3 s, doubled with each refusal in a
-  // row, and each stream that had begun there before and ended well counted as
-  // a sign that all was well again. Here the head got three or four requests
-  // between half a second and the end of the rest, two of them just after such
-  // a stream.
+TEST_CASE("rest: a server gets no requests until its Retry-After has passed") {
+  // Guards against a backoff that ignores Retry-After. An entry host skipped a
+  // server that refused for 0.3 s, doubled with each refusal in a row, and
+  // reset this when a stream that had begun there earlier completed. Two heads
+  // that had asked for 3 s got requests again after 0.5, 0.9, 0.7 and 0.5 s.
+  // The head of this test got three or four requests after the grace time, two
+  // of them just after such a stream.
   constexpr Duration kBackoff = Seconds(3);
   constexpr size_t kGroups = 6;
   PressureSite site(1, 13);
@@ -175,12 +174,12 @@
   CHECK(RunUntil(site.loop, [&callers] { return callers.AllServed(); }));
 }
 
-TEST_CASE("leaving: a server that says so gets nothing more") {
-  // The store does not know yet that the server leaves, or never will: some
-  // servers end without a word to it, and tell only those that ask them. Entry
-  // hosts took a leaving from the store alone, so they went on sending to a
-  // server that was about to end: 60 more requests here, whose answers could
-  // have broken off.
+TEST_CASE(
+    "leaving: a server that announces its shutdown gets no more requests") {
+  // Guards against entry hosts that learn of a shutdown from the store alone.
+  // Some servers announce it only in their responses, and the store learns of
+  // it late or never. The server of this test got all 60 further requests,
+  // whose responses could have been cut off.
   PressureSite site(1);
   REQUIRE(site.WaitUntilReady());
   PlatformRunnerStandin& leaving_server = *site.plain[0];
--- a/tests/platform_config.h
+++ b/tests/platform_config.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A configuration of the users' platform, as its store holds it.
+/// Builds configuration objects in the format of the platform's store.
 
 #include <string>
 
--- a/tests/platform_evacuation_test.cc
+++ b/tests/platform_evacuation_test.cc
@@ -5,18 +5,18 @@
 
 #include "platform_site.h"
 
-/// Data centres that the operator evacuates, servers that are cold, and
-/// requests that are bound to regions, through the whole path of several entry
-/// hosts against stand-ins of the platform.
+/// Tests evacuated data centres, cold servers, and requests restricted to
+/// regions. They cover the whole request path of several entry hosts, with
+/// stand-ins for the platform.
 
 namespace filbertrack {
 namespace {
 
-/// Within this all entry hosts act on what the operator wrote, while the store
-/// answers.
+/// Time within which all entry hosts apply a change by the operator, provided
+/// that the store responds.
 constexpr Duration kPropagationTime = Milliseconds(500);
 
-/// Servers in two data centres, `z` and `y`, in regions of their own.
+/// Servers in two data centres, `z` and `y`, each in a region of its own.
 struct TwoDataCentres : Site {
   explicit TwoDataCentres(int entry_hosts,
                           int hosts = 0,
@@ -35,8 +35,8 @@
     });
   }
 
-  /// Plain requests, one at each entry host, while the server of `z` refuses
-  /// all: those that the one of `y` then ran.
+  /// Sends a plain request to each entry host while the server in `z` refuses
+  /// all requests. Returns how many of them the server in `y` ran.
   size_t CountSentToY() {
     const size_t before = plain[1]->seen().size();
     plain[0]->SetFull(true);
@@ -52,7 +52,7 @@
     CHECK(RunUntil(loop, [=] { return MonotonicNow() - begin >= time; }));
   }
 
-  /// Requests that ran in the data centre so far.
+  /// Number of requests run in the data centre so far.
   size_t CountRequestsIn(std::string_view data_centre) const {
     size_t count = 0;
     for (const auto* servers : {&runners, &plain}) {
@@ -81,7 +81,7 @@
     return response;
   }
 
-  /// As many requests to each entry host; all are to be answered.
+  /// Sends `times` requests to each entry host and checks that all succeed.
   void SendToEachHost(int times, const std::string& path) {
     for (int i = 0; i < times; ++i) {
       for (const auto& node : nodes) {
@@ -90,7 +90,8 @@
     }
   }
 
-  /// Requests that all begin at once, over all entry hosts.
+  /// Sends `count` requests at once, spread over all entry hosts, and waits for
+  /// the responses.
   void SendConcurrently(size_t count, const std::string& path) {
     std::deque<CallerResponse> responses;
     std::vector<std::unique_ptr<HttpCall>> calls;
@@ -116,8 +117,9 @@
   return Json::parse(response.body, nullptr, false).value("code", 0);
 }
 
-TEST_CASE("evacuation: nothing new reaches the servers of the data centre") {
-  // Guards against an order of the operator that nobody reads.
+TEST_CASE("evacuation: servers in the data centre get no new requests") {
+  // Guards against evacuations that entry hosts do not read. The servers must
+  // get requests again once the operator has ended the evacuation.
   TwoDataCentres site(2, 10);
   REQUIRE(site.WaitUntilReady(6));
   site.SendConcurrently(40, "/s/x");
@@ -138,8 +140,8 @@
   CHECK(site.CountRequestsIn("y") > seen_in_y + 2);
 }
 
-TEST_CASE("evacuation: a host that the store turns away hears it from others") {
-  // Guards against a host that learns of evacuations from the store alone.
+TEST_CASE("evacuation: a host refused by the store learns of it from peers") {
+  // Guards against entry hosts that learn of evacuations from the store alone.
   TwoDataCentres site(1);
   site.AddEntryHost(true);
   REQUIRE(site.WaitUntilReady(2));
@@ -151,9 +153,9 @@
   CHECK(site.CountSentToY() == 0);
 }
 
-TEST_CASE("evacuation: holds for hosts that start, and after a lost history") {
-  // Guards against evacuations that only a watch tells, which misses what was
-  // written before it began or while the history was dropped.
+TEST_CASE("evacuation: new hosts and hosts after a compaction apply it") {
+  // Guards against reading evacuations from watch events alone, which do not
+  // include changes made before the watch began or removed by a compaction.
   TwoDataCentres site(2);
   REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", Json::object());
@@ -169,8 +171,9 @@
   CHECK(site.CountSentToY() == 3);
 }
 
-TEST_CASE("evacuation: a slow store delays it by its own time only") {
-  // Guards against an evacuation that waits for a further call of a slow store.
+TEST_CASE("evacuation: a slow store delays it only by its response time") {
+  // Guards against an evacuation that needs a further call to the store before
+  // it is applied.
   constexpr Duration kDelay = Milliseconds(300);
   TwoDataCentres site(2);
   REQUIRE(site.WaitUntilReady(2));
@@ -181,8 +184,9 @@
   CHECK(site.CountSentToY() == 0);
 }
 
-TEST_CASE("evacuation: of all data centres, requests are refused at once") {
-  // Guards against callers that wait for what cannot be served.
+TEST_CASE(
+    "evacuation: requests are refused at once if it covers all data centres") {
+  // Guards against requests that wait although no server may run them.
   TwoDataCentres site(2);
   REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", "entry of another writer");
@@ -200,7 +204,9 @@
   CHECK(!FindHeader(refused.headers, "Retry-After").empty());
 }
 
-/// What a cold server of the sites below bears in a second, and what ends it.
+/// Requests a second that a cold server of these tests declares to handle, and
+/// the maximum in one second; with more than 1.5 times its rate plus 5, the
+/// stand-in terminates.
 constexpr double kColdRequestsPerSecond = 4;
 constexpr size_t kMaxInSecond = 11;
 
@@ -213,7 +219,8 @@
   return config;
 }
 
-/// Bursts over all entry hosts while the server of `z` refuses all.
+/// Sends bursts through all entry hosts while the server in `z` refuses all
+/// requests.
 void SendBurstsToY(TwoDataCentres& site, int bursts) {
   site.plain[0]->SetFull(true);
   for (int i = 0; i < bursts; ++i) {
@@ -223,9 +230,10 @@
   site.plain[0]->SetFull(false);
 }
 
-TEST_CASE("cold: a burst over all entry hosts does not end a cold server") {
-  // Guards against a cold server that is chosen by all hosts because its places
-  // are free.
+TEST_CASE(
+    "cold: a burst over all entry hosts does not overload a cold server") {
+  // Guards against a cold server that all hosts choose because its slots are
+  // free, and that terminates under the load.
   TwoDataCentres site(3, 0, ColdConfig());
   REQUIRE(site.WaitUntilReady(2));
   PlatformRunnerStandin& cold = *site.plain[1];
@@ -237,13 +245,14 @@
   CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
   CHECK(cold.seen().size() > 0);
   site.Wait(Seconds(2));
-  // Warm: each entry host may send to it.
+  // The server has warmed up; each entry host may send to it again.
   CHECK(site.CountSentToY() == 3);
 }
 
-TEST_CASE("cold: servers that were evacuated come back without a word of it") {
-  // Guards against a data centre that is taken back with all its share at once,
-  // though its servers turned cold meanwhile and nothing tells so.
+TEST_CASE("cold: servers are assumed to be cold after an evacuation") {
+  // Guards against a data centre that gets its full share of the requests at
+  // once after an evacuation, although its servers have become cold meanwhile
+  // and do not report it.
   TwoDataCentres site(3, 0, ColdConfig());
   REQUIRE(site.WaitUntilReady(2));
   site.store.Put("evacuations", "y", Json::object());
@@ -257,9 +266,9 @@
   CHECK(cold.MaxInSecond(since) <= kMaxInSecond);
 }
 
-TEST_CASE("regions: a request reaches servers of its regions only") {
-  // Guards against a request that is run where its route, or its workspace, may
-  // not be served.
+TEST_CASE("regions: a request reaches only servers in its regions") {
+  // Guards against a request that runs in a region which its route or its
+  // workspace does not allow.
   Json config = MakeConfig(1);
   config["routes"].push_back(MakeRoute("bound", "/bound/", "safe", "plain"));
   config["routes"].back()["allowedRegions"] = {"region-y"};
@@ -281,7 +290,7 @@
     CHECK(response.status == 200);
   }
   CHECK(site.CountRequestsIn("y") == seen_in_y);
-  // Where both bind and no region is in both, nobody may run it.
+  // No region is allowed by both the route and the workspace.
   CallerResponse refused;
   const auto call =
       SendRequestTo(site.host->caller_address(), site.client, "/bound/x",
--- a/tests/platform_path_test.cc
+++ b/tests/platform_path_test.cc
@@ -5,12 +5,13 @@
 
 #include "platform_site.h"
 
-/// The whole path of an entry host against stand-ins of the platform.
+/// Tests the whole request path of one entry host with stand-ins for the
+/// platform.
 
 namespace filbertrack {
 namespace {
 
-TEST_CASE("from nothing: groups form and a stream is served unchanged") {
+TEST_CASE("groups form after a cold start, and a stream is served unchanged") {
   Site site(5);
   REQUIRE(site.listening);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 2; }));
@@ -32,10 +33,10 @@
   }
 }
 
-TEST_CASE("a head dies in mid-stream: the caller gets one whole answer") {
-  // The stream breaks after its first events; another group takes it up after
-  // the last one that the caller has, and the group that lost its head is made
-  // whole from what is left.
+TEST_CASE("a stream whose head dies is resumed on another group") {
+  // The stream breaks after its first events. Another group must resume it
+  // after the last event that the caller has received, so that the caller gets
+  // every event once.
   Site site(5);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 2; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
@@ -56,11 +57,10 @@
   CHECK(response.body == ExpectedStream(5));
 }
 
-TEST_CASE("a member leaves in mid-stream: the stream ends where it began") {
-  // The caller gets its whole answer from the first group. A member reports
-  // that it is leaving; the group takes nothing new, is closed in order, and
-  // ends what it has. To take the stream up elsewhere would use up a retry and
-  // read the prompt again.
+TEST_CASE("a stream finishes on its group when a member leaves") {
+  // A member reports that it is leaving. The group must accept no new requests,
+  // but complete those in progress before it closes. Resuming the stream on
+  // another group would take a retry and process the prompt again.
   Site site(5);
   for (const auto& runner : site.runners) {
     runner->SetEvents(40);
@@ -92,10 +92,10 @@
   CHECK(sends == 1);
 }
 
-TEST_CASE("a silent stream waits where nothing else can take it up") {
-  // The caller gets its whole answer, late. The one group of the model stands
-  // still for over three pauses and then goes on. No other group serves the
-  // model, so to give the stream up would break an answer that still comes.
+TEST_CASE("a stalled stream is not aborted if no other group can resume it") {
+  // The only group that serves the model stalls for more than three times the
+  // gap target and then continues. Aborting the stream would break a response
+  // that is merely late.
   Site site(3);
   for (const auto& runner : site.runners) {
     runner->SetStreamStall(2, Milliseconds(1300));
@@ -109,9 +109,9 @@
   CHECK(response.body == ExpectedStream(5));
 }
 
-TEST_CASE("a request that runs at most once is not sent again") {
-  // The server ran it and its answer is lost: the caller is told that nobody
-  // knows, and no other server sees the request.
+TEST_CASE("a non-idempotent request is not sent again") {
+  // A server ran the request, and its response is lost. The caller must get
+  // 502, since the outcome is unknown, and no other server may get the request.
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
@@ -125,7 +125,7 @@
   CHECK(site.plain[0]->seen().size() + site.plain[1]->seen().size() == 1);
 }
 
-TEST_CASE("a request that may be repeated is sent to another server") {
+TEST_CASE("an idempotent request is retried on another server") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   site.plain[0]->SetDropsResponses(true);
@@ -141,8 +141,8 @@
 }
 
 TEST_CASE(
-    "servers that refuse: the caller is told that nothing ran, and when to "
-    "come back") {
+    "if all servers refuse, the caller gets 503 and a time at which to "
+    "retry") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
@@ -158,10 +158,11 @@
   CHECK(site.plain[1]->seen().empty());
 }
 
-TEST_CASE("a host that starts while the store is away says when it may know") {
-  // All hosts lost power while the store was away. A caller that is told to
-  // come back before the registrations can be there is refused once more, and
-  // most come back only once.
+TEST_CASE(
+    "a host that starts during a store outage sends a useful Retry-After") {
+  // All hosts restart during a store outage. A caller that retries before the
+  // registrations can have been read is refused a second time, and most callers
+  // retry only once.
   Site site(0);
   site.store.faults().refuse_with = 503;
   HttpClient client(site.loop, 0);
@@ -177,7 +178,7 @@
   CHECK(std::stod(after) <= 2);
 }
 
-TEST_CASE("an answer that names another request never reaches the caller") {
+TEST_CASE("a response with another request id never reaches the caller") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
@@ -191,7 +192,7 @@
   CHECK(response.body.find("answer of") == std::string::npos);
 }
 
-TEST_CASE("unknown keys and routes are refused, and run nowhere") {
+TEST_CASE("unknown keys and routes are refused") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   HttpClient client(site.loop, 2);
@@ -206,7 +207,7 @@
   CHECK(no_route.status == 404);
 }
 
-TEST_CASE("a key that is withdrawn is refused from the next request on") {
+TEST_CASE("a revoked key is refused once the configuration is applied") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   Json config = MakeConfig(2);
@@ -221,7 +222,7 @@
   CHECK(response.status == 401);
 }
 
-TEST_CASE("a caller that leaves ends the work at the server") {
+TEST_CASE("a caller that disconnects cancels the request at the server") {
   Site site(3);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 1; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
@@ -238,11 +239,12 @@
   }));
 }
 
-TEST_CASE("a signal to reload does not end the process") {
-  // The platform sends SIGHUP when the settings file changed. Unhandled, it
-  // ended every entry host at once, with the requests they had.
+TEST_CASE("a reload signal does not terminate the process") {
+  // The platform sends SIGHUP when the settings file has changed. Without a
+  // handler, it terminated all entry hosts at once, with the requests in
+  // progress.
   IgnoreReloadSignal();
-  // One that comes before the process is ready for it.
+  // This signal arrives before the handler is installed.
   std::raise(SIGHUP);
   EventLoop loop;
   int reloads = 0;
@@ -257,12 +259,13 @@
       "test.ini");
   site.host->Reload(*settings);
   CHECK(site.host->IsReady());
-  // The same settings once more change nothing.
+  // Reloading the same settings again has no effect.
   site.host->Reload(*settings);
   CHECK(site.host->IsReady());
 }
 
-TEST_CASE("the metrics tell what callers got and what the host knows") {
+TEST_CASE(
+    "the metrics report the results of requests and the state of the host") {
   Site site(3);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
@@ -295,9 +298,11 @@
   }
 }
 
-TEST_CASE("a stopping host answers what it has and refuses what comes late") {
-  // After the balancer had time to learn of the stop, a new request is refused
-  // as not run, so that it is not cut at the end of the grace time.
+TEST_CASE("a draining host still answers and closes the connection") {
+  // The load balancer needs some time to see that the host is no longer ready.
+  // Requests that arrive until then must still be answered, on connections that
+  // are closed afterwards. Later ones are refused as not run, so that they are
+  // not cut off at the end of the grace time; this test does not cover that.
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   site.host->Drain();
--- a/tests/platform_poison_test.cc
+++ b/tests/platform_poison_test.cc
@@ -3,19 +3,20 @@
 
 #include "platform_site.h"
 
-/// A request that ends each server that begins to run it, through the whole
-/// path of several entry hosts against stand-ins of the platform.
+/// Tests the handling of poison requests, which terminate every server that
+/// starts to run them. They cover the whole request path of several entry
+/// hosts, with stand-ins for the platform.
 
 namespace filbertrack {
 namespace {
 
-/// Servers that such a request may end before it is known, and the most that it
-/// may reach after that and a stable window, over the whole fleet.
+/// Servers that a poison request may terminate before it is blocked, and after
+/// that and the stable window, over the whole fleet.
 constexpr int kEndsUntilBlocked = 3;
 constexpr int kMaxEndsAfter = 3;
-/// Time for all entry hosts to agree, as the platform grants it.
+/// Time that the platform allows until all entry hosts block the request.
 constexpr Duration kStableWindow = Seconds(3);
-/// Copies sent after that.
+/// Copies of the request sent after the stable window.
 constexpr int kCopiesAfter = 12;
 constexpr std::string_view kPoison = "ends its server";
 
@@ -25,8 +26,7 @@
   RunUntil(loop, [&over] { return over; });
 }
 
-/// A fleet whose servers end on kPoison, and callers of one workspace with two
-/// keys.
+/// A fleet whose servers terminate on kPoison, and a workspace with two keys.
 struct PoisonSite : Site {
   PoisonSite(int hosts, int entry_hosts) : Site(hosts, entry_hosts) {
     Json config = MakeConfig(2);
@@ -58,8 +58,8 @@
         std::count_if(plain.begin(), plain.end(), is_dead));
   }
 
-  /// One more copy, with an id of its own, to the next entry host, by one key
-  /// of the workspace or the other.
+  /// Sends a copy of the poison request with a new id to the next entry host,
+  /// and every third one with the second key of the workspace.
   CallerResponse SendCopy(const std::string& path) {
     ++copies;
     const EntryNode& node = *nodes[copies % nodes.size()];
@@ -76,13 +76,12 @@
   size_t copies = 0;
 };
 
-TEST_CASE("a request that ends servers is known at every entry host") {
-  // A caller sends a request under which every server that begins to run it
-  // ends, and comes again with it, each time under a new id and at another
-  // entry host. No host by itself sees three ends. In the day that this replays
-  // the ninth copy found the same as the first: placed at 42.72 s,
-  // `attempt-ended after_ms=226 silent_ms=54 why="connection broke"`, and 24
-  // servers ended. A host that joins later must know it too.
+TEST_CASE("a poison request is blocked at every entry host") {
+  // Guards against evidence that entry hosts do not share. A caller repeats a
+  // poison request with a new id at a different entry host each time, so that
+  // no host observes three terminations by itself. In an incident, the ninth
+  // copy was handled like the first, and 24 servers terminated. A host that
+  // joins later must block the request too.
   PoisonSite site(28, 3);
   REQUIRE(site.WaitUntilReady(14));
   while (site.CountTerminated() < kEndsUntilBlocked) {
@@ -99,7 +98,7 @@
   }
 }
 
-/// Ends servers until the request is refused everywhere.
+/// Sends copies until every entry host blocks the request.
 void BlockPoisonRequest(PoisonSite& site) {
   const auto is_known = [&site] {
     return std::all_of(site.nodes.begin(), site.nodes.end(),
@@ -114,9 +113,9 @@
   REQUIRE(RunUntil(site.loop, is_known));
 }
 
-TEST_CASE("the caller of a request that ends servers is told so at once") {
-  // Nothing ran, and to come back with the same would end more servers: the
-  // answer says both, and no time to return.
+TEST_CASE("the caller of a blocked poison request is told the reason at once") {
+  // The response states that the request was not run and why. It has no
+  // Retry-After, because a retry could terminate more servers.
   PoisonSite site(20, 2);
   REQUIRE(site.WaitUntilReady(10));
   BlockPoisonRequest(site);
@@ -133,10 +132,10 @@
   }
 }
 
-TEST_CASE("a mark outlasts the loss of all entry hosts") {
-  // All entry hosts lose power at once, and with them what they told each
-  // other. The request that they had marked comes again to hosts that know
-  // nothing of it but what they read from the store as they start.
+TEST_CASE("a block outlasts the loss of all entry hosts") {
+  // All entry hosts lose power at once, and their gossip state is lost. The
+  // request is sent again to hosts that know of it only from the record in the
+  // store, which they read at start-up.
   PoisonSite site(20, 2);
   REQUIRE(site.WaitUntilReady(10));
   BlockPoisonRequest(site);
@@ -158,10 +157,11 @@
   CHECK(site.CountTerminated() == ended);
 }
 
-TEST_CASE("requests beside one that ends servers are served") {
-  // Two callers of the same workspace have streams on the servers that end, and
-  // their streams break off with each. They are not to blame: taken up or sent
-  // again they get their whole answer while the other one still comes.
+TEST_CASE("requests that run beside a poison request are served") {
+  // Guards against blocking requests that merely ran on the servers that the
+  // poison request terminated. Streams of the same workspace break there
+  // repeatedly; resumed or sent again, they must get their complete responses,
+  // also while copies of the poison request still arrive.
   PoisonSite site(28, 2);
   for (const auto& runner : site.runners) {
     runner->SetEvents(20);
--- a/tests/platform_readers_test.cc
+++ b/tests/platform_readers_test.cc
@@ -9,19 +9,20 @@
 
 #include "platform_site.h"
 
-/// Callers that read slowly or not at all, through the whole path of one entry
-/// host against stand-ins of the platform.
+/// Tests callers that read slowly or not at all. They cover the whole request
+/// path of one entry host, with stand-ins for the platform.
 
 namespace filbertrack {
 namespace {
 
-/// Memory of the entry host, in MiB, and what it may hold for callers.
+/// Memory of the entry host, in MiB, and the bytes that it may buffer for
+/// callers.
 constexpr int kMemoryMb = 16;
 constexpr size_t kMaxHeld = 4 * 1024 * 1024;
 constexpr Duration kUnreadTimeout = Seconds(2);
 
-/// A caller that begins a stream and takes at most `per_read` bytes of it at a
-/// time; 0: it takes none.
+/// A caller that requests a stream and receives at most `per_read` bytes with
+/// each call to Read(); none if 0.
 class SlowCaller {
  public:
   SlowCaller(const Address& to, const std::string& id, size_t per_read)
@@ -61,7 +62,7 @@
   ssize_t m_read = 0;
 };
 
-/// One entry host of little memory, and groups whose streams are large.
+/// One entry host with little memory, and groups that send large streams.
 struct ReaderSite : Site {
   ReaderSite()
       : Site(SiteOptions{.hosts = 4,
@@ -75,9 +76,9 @@
   }
 };
 
-TEST_CASE("callers that do not read are let go, and the others are served") {
-  // Guards against answers that nobody reads and that fill the memory of the
-  // host until the platform ends it.
+TEST_CASE("callers that do not read are disconnected, and others are served") {
+  // Guards against unread responses that fill the memory of the entry host
+  // until the platform kills the process.
   ReaderSite site;
   REQUIRE(RunUntil(site.loop, [&site] { return site.CountTargets() == 4; }));
   std::vector<std::unique_ptr<SlowCaller>> stalled_callers;
@@ -99,7 +100,7 @@
   CHECK(response.status == 200);
   REQUIRE(
       RunUntil(site.loop, [&] { return site.host->dropped_callers() >= 8; }));
-  // One round of reading of each stream may come beyond the bound.
+  // Each stream may exceed the limit by the data of one read.
   CHECK(max_held < 2 * kMaxHeld);
   CHECK(slow.bytes_read() > 100'000);
 }
--- a/tests/platform_return_test.cc
+++ b/tests/platform_return_test.cc
@@ -5,8 +5,8 @@
 #include "platform_engine_client.h"
 #include "platform_header_codec.h"
 
-/// What an entry host makes of the store's return, and of entries that cannot
-/// be read, without sockets.
+/// Tests how an entry host handles the end of a store outage and invalid
+/// registrations, without sockets.
 
 namespace filbertrack {
 namespace {
@@ -38,20 +38,22 @@
   EntryHost host;
 };
 
-TEST_CASE("a host tells its peers when the store comes back after an outage") {
-  // Registrations that lapsed meanwhile are kept for 2.5 s by all that hear it.
+TEST_CASE(
+    "a host tells its peers that the store has returned after an outage") {
+  // Entry hosts that learn of the return keep the registrations that expired
+  // during the outage for another 2.5 s.
   HostFixture site;
   site.host.OnStoreLost();
   site.host.OnStoreReturned();
   CHECK(site.host.OwnGossipState().store_back_for.has_value());
 }
 
-TEST_CASE("a host that was cut off alone tells of no return of the store") {
-  // One host is cut off from the store and hears from its peers what changes
-  // there. When it reaches the store again it tells them that the store is
-  // back. A server that leaves without a word at that moment is taken for one
-  // whose registration lapsed, and is sent requests for 2.5 s; it may end after
-  // 2 s.
+TEST_CASE("a host that alone lost the store does not announce its return") {
+  // Only this host loses its connection to the store; updates from peers show
+  // that the store is available. If the host announced the return of the store,
+  // its peers would mistake a server that leaves at that moment for one whose
+  // registration expired in an outage. They would send it requests for 2.5 s,
+  // but it may terminate after 2 s.
   HostFixture site;
   site.host.OnStoreLost();
   site.host.OnServers(MakeRegistration("s2", 400));
@@ -60,10 +62,10 @@
 }
 
 TEST_CASE(
-    "an entry that turns unreadable takes its server out, also for peers") {
-  // Another writer puts something else in the place of a server's entry. No
-  // request goes there any more; peers are passed the text as it stands, and
-  // judge it by themselves. The server is back with its next own entry.
+    "a registration that becomes invalid removes the server, also for peers") {
+  // Other software overwrites the registration of a server. The server must not
+  // get any more requests until it registers again. Peers receive the text
+  // unchanged and validate it themselves.
   HostFixture site;
   ServerChanges invalid;
   invalid.revision = 20;
@@ -74,7 +76,7 @@
   REQUIRE(logged);
   REQUIRE(logged->size() == 1);
   CHECK(logged->front().text == "banana");
-  // An older word of it changes nothing.
+  // An older registration is ignored.
   site.host.OnServers(MakeRegistration("s1", 15));
   CHECK(site.host.directory().Find("s1") == nullptr);
   site.host.OnServers(MakeRegistration("s1", 30));
--- a/tests/platform_site.h
+++ b/tests/platform_site.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Entry hosts with all their parts, the store and runners, on one loop.
+/// Test fixture: complete entry hosts with stand-ins for the store and the
+/// runners, all on one event loop.
 
 #include <algorithm>
 #include <memory>
@@ -22,7 +23,7 @@
 
 namespace filbertrack {
 
-/// An address that nobody listens on, for a host that is told of before it
+/// Returns a free address, for a host whose address is needed before it
 /// listens.
 inline Address FreeAddress(EventLoop& loop) {
   HttpServer server(loop, {}, [](const std::shared_ptr<HttpExchange>&) {});
@@ -30,15 +31,16 @@
 }
 
 struct SiteOptions {
-  /// Hosts for groups, and entry hosts.
+  /// Number of hosts that form groups, and of entry hosts.
   int hosts = 0;
   int entry_hosts = 1;
-  /// Backend servers stand in them by turns; a fabric domain each.
+  /// Backend servers are assigned to these round robin. Each data centre is one
+  /// fabric domain.
   std::vector<std::string> data_centres = {"z"};
   Json config = MakeConfig(1);
-  /// Of each event of a stream, beyond the usual text.
+  /// Extra bytes in each event of a stream.
   size_t event_padding = 0;
-  /// Of each entry host.
+  /// Memory of each entry host, in MiB.
   int entry_memory_mb = 512;
   Duration unread_timeout = Seconds(10);
 };
@@ -84,7 +86,7 @@
     control.Start();
   }
 
-  /// As a quarter of a core and 1,000 Mbit/s make it.
+  /// Capacity of an entry host with a quarter of a core and 1,000 Mbit/s.
   static constexpr int kCapacity = 250;
 
   static platform::PlatformStorePolicy MakeStorePolicy() {
@@ -100,7 +102,7 @@
     return policy;
   }
 
-  /// Groups and plain servers that the host would send to.
+  /// Number of groups and plain servers that the host can send requests to.
   size_t CountTargets() const {
     return host.catalog() == nullptr
                ? 0
@@ -117,7 +119,7 @@
   EntryPoisonRecord poison_record;
 };
 
-/// Hosts for groups, two plain servers, and entry hosts.
+/// Entry hosts, hosts that form groups, and two plain servers.
 struct Site {
   explicit Site(int hosts, int entry_hosts = 1)
       : Site(SiteOptions{.hosts = hosts, .entry_hosts = entry_hosts}) {}
@@ -153,7 +155,8 @@
     listening = nodes.front()->listening;
   }
 
-  /// `apart`: at the address where the store can turn it away.
+  /// Adds an entry host. With `at_second_address`, it uses the store's second
+  /// address, at which the stand-in can be told to refuse all calls.
   EntryNode& AddEntryHost(bool at_second_address = false) {
     const std::string name = "e" + std::to_string(nodes.size() + 1);
     nodes.push_back(std::make_unique<EntryNode>(
@@ -183,7 +186,7 @@
   bool listening = false;
 };
 
-/// What a caller got.
+/// The response as received by the caller.
 struct CallerResponse {
   bool ended = false;
   bool failed = false;
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -14,7 +14,7 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("a configuration is read whole, or refused with a reason") {
+TEST_CASE("a configuration is decoded completely, or rejected with a reason") {
   const auto catalog = platform::DecodeCatalog(MakeConfig(7));
   REQUIRE(catalog);
   CHECK(catalog->version() == 7);
@@ -37,7 +37,7 @@
   CHECK(!platform::DecodeCatalog(Json("nothing")));
 }
 
-TEST_CASE("nonsense from the platform is an error and never more") {
+TEST_CASE("arbitrary values in a configuration give an error, never a crash") {
   REQUIRE(rc::check("any value in any place", [] {
     Json config = MakeConfig(1);
     const Json flat = config.flatten();
@@ -52,7 +52,7 @@
   }));
 }
 
-TEST_CASE("a registration with a group, and one that cannot be read") {
+TEST_CASE("a registration with a group is decoded, and invalid ones rejected") {
   const Json spec = {
       {"service", "llm"},
       {"address", "10.0.0.1:80"},
@@ -94,10 +94,10 @@
            {{"name", "m/1"}, {"epoch", 1}, {"rank", 0}, {"state", "open"}}}};
 }
 
-TEST_CASE("entries of another writer name no server to use") {
-  // A field is missing, of another type or out of range. Taken as it is, such
-  // an entry would be sent requests, or its number cast to a type that cannot
-  // hold it.
+TEST_CASE("invalid registrations are rejected") {
+  // Other software may write registrations with a field that is missing, of the
+  // wrong type or out of range. If accepted, the server would be sent requests,
+  // or a number would be cast to a type that cannot represent it.
   const Json spec = MakeHostSpec();
   REQUIRE(platform::DecodeServer("i", spec));
   CHECK(platform::DecodeServer("i", spec)->process_start_ms == 1796000000000);
@@ -146,7 +146,7 @@
   }
 }
 
-/// Any JSON value, of few levels.
+/// Generates an arbitrary JSON value with at most `levels` nested levels.
 Json AnyJson(int levels) {
   const int kind = *rc::gen::inRange(0, levels > 0 ? 8 : 6);
   switch (kind) {
@@ -169,7 +169,7 @@
   }
 }
 
-TEST_CASE("mutated entries are read whole or refused, as JSON and as CBOR") {
+TEST_CASE("mutated registrations decode the same from JSON and CBOR, or fail") {
   REQUIRE(rc::check("mutated entries", [] {
     Json spec = MakeHostSpec();
     const int changes = *rc::gen::inRange(1, 4);
@@ -192,13 +192,13 @@
       RC_ASSERT(read->slots >= 1);
       RC_ASSERT(!read->membership || read->membership->rank >= 0);
     }
-    // Neither may end the process.
+    // These may fail, but must not terminate the process.
     (void)platform::DecodeCatalog(spec);
     (void)platform::DecodeReport(spec);
   }));
 }
 
-TEST_CASE("numbers of a configuration are checked before they are used") {
+TEST_CASE("numbers in a configuration are checked before they are used") {
   const Json config = MakeConfig(1);
   REQUIRE(platform::DecodeCatalog(config));
   for (const char* path :
@@ -219,7 +219,7 @@
   CHECK(platform::DecodeReport({{"born", 5}})->process_start_ms == 5);
 }
 
-/// Notes what the store client tells.
+/// Records the notifications of the store client.
 struct RecordingListener : SiteListener {
   void OnCatalog(std::shared_ptr<const Catalog> catalog, std::string) override {
     versions.push_back(catalog->version());
@@ -260,10 +260,10 @@
 }
 
 TEST_CASE(
-    "a host that starts while the store is away reads it again by itself") {
-  // All entry hosts lost power while the store was away. None has a
-  // configuration to tell the others, and callers are refused until one reads
-  // it. Without further tries that waited for the choice of who watches.
+    "a host that starts during a store outage retries the first listing") {
+  // All entry hosts restart during a store outage. No host has a configuration
+  // to forward to its peers, and callers are refused until one has read it.
+  // Without retries, this happened only after the watchers had been chosen.
   EventLoop loop;
   PlatformStoreStandin store(loop, 3);
   store.Put("config", "main", MakeConfig(1));
@@ -279,7 +279,7 @@
     return listener.versions == std::vector<uint64_t>{1} &&
            listener.servers.size() == 1;
   }));
-  // It does not watch: nothing follows the first reading.
+  // The client does not watch, so no call follows the first listing.
   CHECK(store.watches() == 0);
 }
 
@@ -300,7 +300,7 @@
   platform::PlatformStore client;
 };
 
-TEST_CASE("a listing in pages, then changes and removals as they come") {
+TEST_CASE("a listing in pages is followed by changes and removals") {
   StoreFixture fixture;
   CHECK(fixture.listener.servers.size() == 8);
   fixture.store.Put("servers", "new", MakePlainSpec());
@@ -314,9 +314,10 @@
   CHECK(fixture.listener.listings == 1);
 }
 
-TEST_CASE("the store drops its history: what was missed shows in a listing") {
-  // A configuration and a removal come while the watch is cut. The client must
-  // not wait for events that will never be told.
+TEST_CASE("after a compaction, a new listing shows the missed changes") {
+  // A configuration and a removal are written while the watch is interrupted,
+  // and the store compacts its history. The client must not wait for events
+  // that the store can no longer deliver.
   StoreFixture fixture;
   fixture.store.faults().refuse_with = 503;
   fixture.store.Compact();
@@ -332,9 +333,10 @@
   CHECK(RunUntil(fixture.loop, [&] { return fixture.listener.returned == 1; }));
 }
 
-TEST_CASE("one entry that cannot be read does not hide the others") {
-  // Another writer puts bytes that are no text, then an entry without a state,
-  // in place of a server that was known. The server is out; the others hold.
+TEST_CASE("an invalid registration does not hide the others") {
+  // Other software overwrites one registration with invalid UTF-8 and another
+  // one with an object without a state. These two servers must be dropped, and
+  // the others kept.
   StoreFixture fixture;
   fixture.store.Put("servers", "s0", "\u00ff garbage");
   Json invalid = MakePlainSpec();
@@ -350,9 +352,10 @@
   CHECK(fixture.listener.lost == 0);
 }
 
-TEST_CASE("what changes while a listing is read is not missed") {
-  // The listing takes three pages. A server of the first page changes while the
-  // second one is read; the watch goes on from the first page's revision.
+TEST_CASE("changes during a listing are not missed") {
+  // The listing has three pages, and a server on the first page is removed
+  // after that page was read. The watch must start from the first page's
+  // revision.
   EventLoop loop;
   RecordingListener listener;
   PlatformStoreStandin store(loop, 3);
@@ -373,7 +376,8 @@
 }
 
 TEST_CASE("records beyond the first page are read") {
-  // Two hundred entry hosts are listed in pages of three.
+  // For example, the records of 200 entry hosts take several pages. The page
+  // size is 3 here.
   StoreFixture fixture;
   for (int i = 0; i < 10; ++i) {
     fixture.store.Put("filbertrack-records", "host-" + std::to_string(i), "v");
@@ -387,9 +391,9 @@
   CHECK(read == 10);
 }
 
-TEST_CASE("a store that refuses is not asked again at once") {
-  // Twenty calls in a second by every host would use up the rate that all
-  // share. Pauses double up to a second.
+TEST_CASE("calls to a store that refuses are backed off") {
+  // Twenty calls a second by every host would use up the rate limit that all
+  // hosts share. The backoff doubles up to one second.
   StoreFixture fixture;
   fixture.store.faults().refuse_with = 429;
   fixture.store.Compact();
@@ -400,7 +404,7 @@
   CHECK(fixture.store.calls() - before <= 24);
 }
 
-TEST_CASE("a write whose answer is lost shows as a conflict with itself") {
+TEST_CASE("repeating a write whose response was lost gives a conflict") {
   StoreFixture fixture;
   fixture.store.faults().lost_writes = 1;
   std::optional<StoreResponse> first;
@@ -428,7 +432,7 @@
   CHECK(fixture.store.calls() == before);
 }
 
-TEST_CASE("a limit that a runner names is read, and a damaged one is not") {
+TEST_CASE("a valid rate limit of a runner is read, an invalid one ignored") {
   const platform::PlatformHeaderCodec header_codec;
   const auto read = [&header_codec](const std::string& text) {
     return header_codec.ReadAnswer(200, {{"Server-Limit", text}}).rate_limit;
@@ -442,7 +446,8 @@
 }
 
 TEST_CASE(
-    "a rest is read with a refusal alone, and a leaving server is known") {
+    "Retry-After is read only from refusals, Server-Leaving from any "
+    "response") {
   const platform::PlatformHeaderCodec header_codec;
   const HttpHeaders rest = {{"X-Not-Executed", "1"}, {"Retry-After", "1.5"}};
   CHECK(header_codec.ReadAnswer(503, rest).backoff == Milliseconds(1500));
