--- a/include/filbertrack/gateway.h
+++ b/include/filbertrack/gateway.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The request path of one entry host.
+/// Gateway of one entry host: accepts callers' requests, admits them and relays
+/// them to serving groups and backend servers.
 
 #include <memory>
 #include <string>
@@ -26,15 +27,16 @@
   Gateway(EventLoop& loop, const Settings& settings);
   ~Gateway();
 
-  /// Listens on the addresses of the settings.
+  /// Listens on the configured addresses for callers, administration and peers.
+  /// Returns the error of the first one that cannot be used.
   Result<bool> Listen();
 
   const Address& caller_address() const { return m_caller_address; }
   const Address& admin_address() const { return m_admin_address; }
   const Address& peer_address() const { return m_peer_address; }
 
-  /// Goes unready, serves on for the grace time and until nothing is in
-  /// flight, then stops the loop.
+  /// Reports unready, keeps serving for the grace time and until no request is
+  /// in flight, then stops the loop.
   void Drain();
 
  private:
@@ -45,12 +47,14 @@
 
   void OnObjects();
   void OnConfig();
-  /// Other entry hosts came or went: who watches what may change.
+  /// Called when the set of live entry hosts changes. Updates which prefixes of
+  /// the store and which group members this host watches.
   void OnMembership();
   void RefreshRates();
   void OnEvidence(const std::string& host, const MemberEvidence& evidence);
   void WatchMembers();
-  /// A request with an idempotency key: it runs only once its key is claimed.
+  /// Starts a request with an idempotency key. It runs only after its key has
+  /// been claimed.
   void StartKeyed(CallerRequest request,
                   const std::string& request_id,
                   const std::shared_ptr<HttpExchange>& exchange);
--- a/include/filbertrack/gateway_keys.h
+++ b/include/filbertrack/gateway_keys.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Idempotency keys on one entry host: asks the owner of a key's partition,
-/// which is this host or another one, and keeps the partitions it owns.
+/// Idempotency keys on one entry host. Sends operations to the owner of the
+/// key's partition, which is this host or another one, and maintains the
+/// partitions that this host owns.
 
 #include <functional>
 #include <map>
@@ -25,23 +26,27 @@
               GatewayPeers& peers);
   ~GatewayKeys();
 
-  /// Asks whether a request may run. `done` is called once, at the latest when
-  /// the owner's and this host's limits have passed; where the verdict is
-  /// kUnavailable the claim is abandoned, so that a later try may run.
+  /// Claims a key for a request; the request may run if the verdict is kRun.
+  /// `done` is called once, at the latest after the time-outs of the owner and
+  /// of this host. If the verdict is kUnavailable, the claim is abandoned, so
+  /// that a retry may run.
   void Claim(const std::string& ledger_key,
              const std::string& fingerprint,
              std::function<void(const KeyAnswer&, const KeyClaim&)> done);
 
-  /// Records what came of a claim; tries until it is recorded.
+  /// Records the outcome of a claim and retries until it is recorded. Dropped
+  /// if 100000 completions are waiting already.
   void Complete(KeyCompletion completion);
 
-  /// Questions of other entry hosts to partitions that this one owns.
+  /// Handles operations of another entry host on partitions that this host
+  /// owns. `reply` receives all verdicts at once.
   void OnPeerRequest(const KeyedRequest& request,
                      const std::function<void(KeyedReply)>& reply);
 
-  /// Writes to the object API begun by the partitions of this host.
+  /// Returns the number of writes to the object API that the partitions of this
+  /// host have started.
   uint64_t writes() const;
-  /// Claims made by callers of this host.
+  /// Returns the number of claims made for callers of this host.
   uint64_t claims() const { return m_claims; }
 
  private:
--- a/include/filbertrack/gateway_peers.h
+++ b/include/filbertrack/gateway_peers.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The part of an entry host that speaks with others: membership, exchange of
-/// evidence and objects, loans, the division of entitlements, and whether this
-/// host may be behind the configuration.
+/// Communication of an entry host with the others: membership, exchange of
+/// evidence and objects, loans, the division of entitlements, and the check
+/// whether this host's configuration may be out of date.
 
 #include <functional>
 #include <map>
@@ -22,9 +22,10 @@
 struct GatewayPeerEvents {
   std::function<void()> on_objects;
   std::function<void(const std::vector<std::string>& groups)> on_evidence;
-  /// Membership or the division changed: who watches what may have too.
+  /// The set of live entry hosts changed, so that this host may have to watch
+  /// other objects and members.
   std::function<void()> on_membership;
-  /// A question about idempotency keys from another entry host.
+  /// Operations on idempotency keys from another entry host.
   std::function<void(KeyedRequest request,
                      std::function<void(KeyedReply)> reply)>
       on_keyed;
@@ -46,20 +47,24 @@
   PeerTable& table() { return m_table; }
   const PeerTable& table() const { return m_table; }
 
-  /// The cache changed: the division may be a newer one.
+  /// Must be called after a change of the cache. Applies a newer division of
+  /// the entitlements.
   void OnObjects();
 
   void SetGeneration(uint64_t generation);
   void SetLeaving();
 
-  /// This host's part of every entitlement.
+  /// Returns this host's share of every entitlement, from 0 to 1.
   double Share(TimePoint now) const;
 
-  /// Whether a configuration newer than this host's may have been accepted
-  /// without it having heard.
+  /// Returns whether a newer configuration may have been accepted without this
+  /// host having received it: neither peers nor the store has recently
+  /// confirmed that this host's generation is the latest.
   bool MayBeBehind(TimePoint now) const;
 
-  /// Asks the peer about idempotency keys; null where it did not answer.
+  /// Sends operations on idempotency keys to the peer `node`. `done` receives
+  /// null if the peer is unknown, a request to it is in flight already, or it
+  /// sends no valid reply within `timeout`.
   void SendKeyedRequest(const std::string& node,
                         const KeyedRequest& request,
                         Duration timeout,
--- a/include/filbertrack/gateway_relay.h
+++ b/include/filbertrack/gateway_relay.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Drives one accepted request: carries out what the request machine decides,
-/// on sockets and timers, and feeds back what happens there.
+/// Runs one accepted request: carries out the actions of the request state
+/// machine on sockets and timers, and passes the resulting events back to it.
 
 #include <deque>
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace filbertrack {
 
-/// The target of one attempt, as it was when it was chosen.
+/// The target of one attempt, as of the time when it was chosen.
 struct AttemptTarget {
   std::string id;
   uint64_t epoch = 0;
@@ -27,39 +27,44 @@
   std::shared_ptr<const std::vector<std::string>> members;
 };
 
-/// When an attempt's answer was forwarded to the caller.
+/// Times at which the first and the last part of an attempt's response were
+/// forwarded to the caller.
 struct ForwardSpan {
   std::optional<TimePoint> first;
   TimePoint last;
 };
 
 enum class EvidenceMode {
-  /// An answer is forwarded while evidence is younger than the bound.
+  /// Forwards the response while the latest evidence is younger than
+  /// `evidence_bound`.
   kBound,
-  /// An answer waits for evidence that is younger than its own arrival.
+  /// Holds each part of the response until there is evidence that is newer than
+  /// its arrival.
   kConfirm,
 };
 
-/// What the evidence says of an attempt's target for a piece of its answer.
+/// Whether a part of an attempt's response may be forwarded, by the evidence
+/// about its target.
 enum class TargetCheck { kForward, kHold, kLost };
 
-/// How a request ended, for its owner.
+/// Result of a request.
 struct RelayResult {
   ResultCode code = ResultCode::kOk;
   Outcome outcome = Outcome::kRan;
   int status = 0;
-  /// The whole answer, for requests with an idempotency key.
+  /// Complete response body, for requests with an idempotency key; empty for a
+  /// stream.
   std::string body;
   std::string content_type;
 };
 
-/// What a relay needs of the entry host.
+/// Interface of the entry host to its relays.
 class RelayHost {
  public:
   virtual ~RelayHost() = default;
 
-  /// Finds a target; answers through TargetFound() or TargetDenied(), at once
-  /// or later.
+  /// Searches for a target. Responds with TargetFound() or TargetDenied(),
+  /// immediately or later.
   virtual void Seek(uint64_t relay, bool is_retry) = 0;
   virtual void CancelSeek(uint64_t relay) = 0;
 
@@ -68,7 +73,7 @@
                             TimePoint now) = 0;
 
   virtual void AttemptStarted(uint64_t relay, const AttemptTarget& target) = 0;
-  /// The answer's headers told of the target's load.
+  /// The response headers reported the load of the target.
   virtual void LoadSeen(const AttemptTarget& target, std::string_view load) = 0;
   virtual void FirstToken(const AttemptTarget& target, Duration measured) = 0;
   virtual void AttemptEnded(uint64_t relay,
@@ -77,11 +82,13 @@
                             Duration measured,
                             const ForwardSpan& forwarded) = 0;
 
-  /// The request is over; the relay is destroyed after this returns.
+  /// The request has ended. The relay is destroyed after this call has
+  /// returned.
   virtual void Ended(uint64_t relay, RelayResult result) = 0;
 };
 
-/// Answers with a refusal: code and outcome stand in headers and in the body.
+/// Sends a refusal with its code and outcome in the headers and in the body.
+/// `retry_after` is sent as the Retry-After header if it is positive.
 void SendRefusal(HttpExchange& exchange,
                  ResultCode code,
                  Outcome outcome,
@@ -105,17 +112,17 @@
   void TargetFound(const AttemptTarget& target);
   void TargetDenied(ResultCode code, Duration retry_after);
 
-  /// Evidence about this relay's target changed.
+  /// Must be called when the evidence about this relay's target has changed.
   void OnEvidence();
 
   uint64_t id() const { return m_id; }
   const CallerRequest& request() const { return m_request; }
   const std::string& request_id() const { return m_request_id; }
-  /// Targets that failed this request.
+  /// Ids of the targets at which this request failed.
   const std::set<std::string, std::less<>>& failed_targets() const {
     return m_failed_targets;
   }
-  /// Empty where no attempt is open.
+  /// nullopt while no attempt is open.
   const std::optional<AttemptTarget>& target() const { return m_target; }
 
  private:
--- a/include/filbertrack/gateway_router.h
+++ b/include/filbertrack/gateway_router.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The requests in flight on one entry host: finds a target for each, holds
-/// those that wait for room, and counts what each target has.
+/// Requests in flight on one entry host. Finds a target for each, queues those
+/// for which no target has capacity, and counts the requests in flight to each
+/// target.
 
 #include <cstdint>
 #include <functional>
@@ -34,7 +35,7 @@
                 Metrics& metrics);
   ~GatewayRouter() override;
 
-  /// Runs a request that has been admitted.
+  /// Starts a request that has been admitted.
   void Start(CallerRequest request,
              std::string request_id,
              std::shared_ptr<HttpExchange> exchange,
@@ -42,9 +43,9 @@
 
   size_t in_flight() const { return m_relays.size(); }
 
-  /// Evidence about a group changed.
+  /// Must be called when the evidence about a group has changed.
   void NotifyGroup(const std::string& group);
-  /// The groups themselves changed.
+  /// Must be called when the groups themselves have changed.
   void NotifyAll();
 
   void Seek(uint64_t relay, bool is_retry) override;
@@ -71,7 +72,8 @@
   Relay* FindRelay(uint64_t id);
   void NotifyRelays(std::span<const uint64_t> ids);
   RouteQuery QueryFor(const Relay& relay) const;
-  /// Gives the relay a target if there is one now.
+  /// Assigns a target to the relay. If none is available now, returns false and
+  /// stores the reason in `denial`.
   bool TryRoute(Relay& relay, RouteDenial* denial);
   void Enqueue(Relay& relay, const RouteDenial& denial);
   FairQueue& QueueFor(const std::string& name);
--- a/source/gateway.cc
+++ b/source/gateway.cc
@@ -18,7 +18,7 @@
 constexpr Duration kDrainCheckInterval = Milliseconds(20);
 constexpr Duration kInProgressPollInterval = Milliseconds(100);
 constexpr Duration kMaxInProgress = Seconds(5);
-/// A larger answer is not kept for later tries with its idempotency key.
+/// Larger responses are not stored for retries with the same idempotency key.
 constexpr size_t kMaxKeptAnswerBytes = 8 * 1024;
 
 struct KeyRefusal {
@@ -26,12 +26,13 @@
   Outcome outcome;
 };
 
-/// How long a second try waits for a running first one.
+/// Returns until when a retry waits for the first attempt with its key, which
+/// is still running.
 TimePoint InProgressDeadline(const CallerRequest& request) {
   return std::min(request.deadline, request.arrived + kMaxInProgress);
 }
 
-/// The refusal that a caller gets for a verdict that lets nothing run.
+/// Returns the refusal for a verdict under which the request must not run.
 KeyRefusal RefusalFor(KeyVerdict verdict) {
   switch (verdict) {
     case KeyVerdict::kInProgress:
@@ -190,8 +191,8 @@
                     RunClaimed(request, request_id, exchange, claim);
                   } else if (answer.verdict == KeyVerdict::kInProgress &&
                              MonotonicNow() < InProgressDeadline(request)) {
-                    // The first try may be about to end; its answer is what
-                    // this caller wants. Asking again costs no write.
+                    // The first attempt may end soon, and this caller needs its
+                    // response. Polling does not write to the store.
                     m_loop.Call(kInProgressPollInterval,
                                 [this, request, request_id, exchange] {
                                   StartKeyed(request, request_id, exchange);
@@ -216,7 +217,8 @@
                          const std::shared_ptr<HttpExchange>& exchange,
                          const KeyClaim& claim) {
   if (!exchange->IsOpen()) {
-    // The caller left while its key was recorded; its next try may run.
+    // The caller disconnected while its key was being claimed. Closes the claim
+    // as not run, so that a retry may run.
     m_keys->Complete(
         {claim.key, claim.claim_id, Outcome::kNotRun, 0, "", "", false});
     return;
@@ -246,9 +248,11 @@
 }
 
 void Gateway::OnMembership() {
-  // Few hosts of a data centre watch the store and the others hear from them,
-  // so that watches grow with data centres. A host that hears nobody finds
-  // itself the first and watches for itself.
+  // Only some hosts of each data centre watch the store, and the others receive
+  // the objects from them, so that the number of watches grows with the data
+  // centres, not with the hosts. A host that hears from no other host is the
+  // only live one in its own table, so it is chosen and watches the store
+  // itself.
   const auto watchers =
       static_cast<size_t>(m_settings.Integer("peers", "watchers"));
   const bool is_watcher = m_peers->table().IsChosen(
--- a/source/gateway_keys.cc
+++ b/source/gateway_keys.cc
@@ -9,8 +9,8 @@
 constexpr Duration kTickInterval = Milliseconds(10);
 constexpr Duration kRequestTimeout = Milliseconds(2500);
 constexpr Duration kCompletionRetryInterval = Seconds(1);
-/// What is not recorded by then stays open in the log: later tries with the key
-/// are told that its outcome is unknown.
+/// Completions beyond this number are dropped. Their claims stay open in the
+/// log, and retries with these keys are told that the outcome is unknown.
 constexpr size_t kMaxOpenCompletions = 100000;
 
 KeyStoreStatus ToKeyStatus(StoreStatus status) {
@@ -53,9 +53,9 @@
                  fingerprint};
   Send(claim, [this, claim, done = std::move(done)](const KeyAnswer& answer) {
     if (answer.verdict == KeyVerdict::kUnavailable) {
-      // The claim may still be recorded by a write that is on its way. Nothing
-      // runs for it, so it is closed as such; otherwise the caller's next try
-      // would be told that this one is running.
+      // A write in transit may still record the claim. Nothing runs for it, so
+      // it is closed as not run; otherwise a retry would be told that this
+      // attempt is still running.
       Complete({claim.key, claim.claim_id, Outcome::kNotRun, 0, "", "", false});
     }
     done(answer, claim);
--- a/source/gateway_peers.cc
+++ b/source/gateway_peers.cc
@@ -12,12 +12,15 @@
 namespace {
 
 constexpr Duration kSeedInterval = Seconds(1);
-/// The store is asked when the peers' word is older than this.
+/// The store is probed when the last confirmation of this host's configuration
+/// is older than this.
 constexpr Duration kMaxConfirmationAge = Milliseconds(1000);
 constexpr Duration kProbeInterval = Milliseconds(500);
-/// Membership must stand this long before the entitlements are divided anew.
+/// The set of live hosts must be unchanged for this long before a new division
+/// of the entitlements is written.
 constexpr Duration kMembershipSettleTime = Seconds(2);
-/// A connection to a peer that is no longer asked is closed after this.
+/// The connection to a peer that is no longer queried is closed after this
+/// time.
 constexpr Duration kNeighbourIdleTimeout = Seconds(5);
 constexpr Duration kRequestTimeout = Seconds(1);
 
@@ -72,9 +75,9 @@
   Address bound;
   if (!m_server->Listen(wanted, &bound)) {
     return Fail(ResultCode::kInternal,
-                "The address '" + wanted.ToString() +
-                    "' of section [peers], key 'listen', cannot be listened "
-                    "on; it must be free and of this host.");
+                "Cannot listen on the address '" + wanted.ToString() +
+                    "' of section [peers], key 'listen'; it must be an unused "
+                    "address of this host.");
   }
   m_table.self().address = bound;
   return bound;
@@ -133,7 +136,8 @@
     if (std::binary_search(live.begin(), live.end(), name)) {
       live_addresses.insert(record.state.address);
     } else if (!record.state.leaving) {
-      // Known by its question only, or silent for a while.
+      // The peer is known only from a request that it sent, or has not been
+      // heard from recently.
       not_live.emplace(name, record.state.address);
     }
   }
@@ -182,7 +186,7 @@
       message ? std::get_if<ExchangeReply>(&*message) : nullptr;
   if (reply == nullptr) {
     Log(LogLevel::kWarning, "peer-refused",
-        {{"peer", name}, {"why", "the answer cannot be read"}});
+        {{"peer", name}, {"why", "the reply cannot be parsed"}});
     return;
   }
   ExchangeState state = MakeExchangeState();
@@ -191,8 +195,9 @@
   if (neighbour != m_neighbours.end()) {
     neighbour->second.wanted = std::move(effect.wanted);
     if (!neighbour->second.wanted.empty()) {
-      // What is missing is asked for now and not with the next round: a change
-      // passes several hosts, and the rounds would add up.
+      // Requests the missing objects immediately instead of in the next round:
+      // a change passes through several hosts, and the waits for a round would
+      // add up.
       Query(name, neighbour->second.address, MonotonicNow());
     }
   }
@@ -265,8 +270,8 @@
 }
 
 void GatewayPeers::ProbeStore(TimePoint now) {
-  // While peers confirm each other the store is left alone: a question a host
-  // and second would grow with the fleet.
+  // While peers confirm each other, the store is not queried: one query per
+  // host and second would grow with the fleet.
   const bool confirmed = m_config_confirmed_at &&
                          now - *m_config_confirmed_at <= kMaxConfirmationAge &&
                          m_division.Share(m_division_policy, now) > 0;
@@ -327,7 +332,8 @@
   m_store.Put(std::string(kDivisionKey), FormatDivision(next),
               object == nullptr ? 0 : object->version,
               [this](const StoreResponse& written) {
-                // Whatever came of it, the object tells.
+                // Reads the object back in any case: it shows whether the write
+                // took effect.
                 m_store.Get(std::string(kDivisionKey),
                             [this](const StoreResponse& response) {
                               m_writing_division = false;
--- a/source/gateway_relay.cc
+++ b/source/gateway_relay.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// A caller that does not read its stream is dropped at this many bytes, so
-/// that it costs no more memory than that.
+/// A caller that does not read its stream is disconnected once this many bytes
+/// are unsent, so that it cannot occupy more memory.
 constexpr size_t kMaxUnsentBytes = 1024 * 1024;
 constexpr size_t kMaxAnswerBytes = 8 * 1024 * 1024;
 
-/// Headers that belong to one connection, or that this path sets itself.
+/// Headers that apply to a single connection or that the relay sets itself.
 constexpr auto kStrippedHeaders = std::to_array<std::string_view>(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "host",
      "authorization", "te", "trailer", "upgrade", "proxy-connection",
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-/// Carries out the machine's actions, one overload each.
+/// Carries out the actions of the request state machine, one overload for each.
 struct RelayActions {
   Relay& relay;
 
@@ -69,8 +69,8 @@
     relay.Refuse(action.code, action.outcome);
   }
   void operator()(const AbortStream& action) const {
-    // The last chunk is left out, so that a client that reads no events can
-    // tell this answer from a finished one as well.
+    // Omits the final chunk, so that a client that does not parse events can
+    // also tell this response from a complete one.
     relay.m_exchange->Send(
         "event: error\ndata: " +
         RefusalBody(action.code, Outcome::kUnknown, relay.m_request_id) +
@@ -189,7 +189,7 @@
     }
   }
   if (m_state.ended && !m_finished) {
-    // The caller left; there is nobody to answer.
+    // The caller has disconnected, so no response is sent.
     Finish({ResultCode::kCallerDisconnected,
             m_state.attempts == 0 ? Outcome::kNotRun : Outcome::kUnknown, 0, "",
             ""});
@@ -202,9 +202,9 @@
 }
 
 void Relay::FlushHeld() {
-  // A group one of whose members is missing must not answer. What has arrived
-  // is forwarded only on evidence that is fresh enough, in the order in which
-  // it arrived; if the evidence never comes, the attempt ends as lost.
+  // A group with a missing member must not answer. Events are forwarded in the
+  // order of their arrival, and only if the evidence about the group is recent
+  // enough. If there is no such evidence in time, the attempt ends as lost.
   while (!m_held.empty() && m_target && !m_finished) {
     const TimePoint now = MonotonicNow();
     const TargetCheck check =
@@ -233,8 +233,8 @@
   AttemptHead head;
   head.status = status;
   head.says_not_run = FindHeader(headers, "Filbert-Outcome") == "not-run";
-  // Engines name the request they answer. A plain service need not, but where
-  // it does, it must be this one.
+  // Engines return the id of the request that they answer. A plain service may
+  // omit it, but an id that it returns must match.
   const bool requires_id =
       !m_state.traits.pass_any_status && !head.says_not_run && status < 300;
   head.request_id_matches = id == m_request_id || (id.empty() && !requires_id);
@@ -339,7 +339,8 @@
       {"Filbert-Outcome", std::string(OutcomeName(outcome))},
       {"Filbert-Code", std::to_string(static_cast<int>(code))}};
   if (retry_after > Duration(0)) {
-    // Whole seconds, rounded up: a caller that comes earlier is refused again.
+    // Rounded up to whole seconds: a caller that retries earlier would be
+    // refused again.
     const int64_t seconds =
         (retry_after + Seconds(1) - Duration(1)) / Seconds(1);
     headers.emplace_back("Retry-After", std::to_string(seconds));
--- a/source/gateway_router.cc
+++ b/source/gateway_router.cc
@@ -13,7 +13,8 @@
 
 constexpr size_t kIdleUpstreamConnections = 64;
 constexpr Duration kQueueInterval = Milliseconds(10);
-/// Evidence that stays away for so many bounds ends the attempt.
+/// An attempt ends as lost when the latest evidence is older than this many
+/// times `evidence_bound`.
 constexpr int kLostAfterBounds = 3;
 
 RoutePolicy PolicyFrom(const std::string& name) {
@@ -98,7 +99,7 @@
     relay->TargetDenied(ResultCode::kUpstreamFailed, Seconds(1));
     return;
   }
-  // Those who wait go first, or a newcomer would overtake them.
+  // Queued requests go first; otherwise a new request would overtake them.
   const auto queue = m_queues.find(QueueName(relay->request()));
   const bool others_wait = queue != m_queues.end() && queue->second.size() > 0;
   RouteDenial denial{RouteRefusal::kAllBusy, Seconds(1)};
@@ -115,7 +116,8 @@
                                        query, m_route_limits, now, m_random);
   if (std::holds_alternative<RouteDenial>(decision) &&
       !query.excluded.empty()) {
-    // A target that failed once is better than none; it may have come back.
+    // If no other target is available, tries those that failed this request
+    // again: they may have recovered.
     query.excluded.clear();
     decision = ChooseRoute(m_route_policy, m_fleet.candidates(), query,
                            m_route_limits, now, m_random);
@@ -204,7 +206,8 @@
     }
   }
   if (m_queue_of_relay.empty()) {
-    // An idle host need not wake a hundred times a second.
+    // Stops the timer, which would otherwise wake an idle host a hundred times
+    // per second.
     m_queue_timer.reset();
   }
 }
@@ -303,7 +306,8 @@
   if (entry == m_relays.end()) {
     return;
   }
-  // The relay is on the call stack now, so it is destroyed from the loop.
+  // The relay is on the call stack, so its destruction is deferred to the event
+  // loop.
   auto ended = std::make_shared<OpenRelay>(std::move(entry->second));
   m_relays.erase(entry);
   m_loop.Post([ended] {});
--- a/source/gateway_settings.cc
+++ b/source/gateway_settings.cc
@@ -5,86 +5,98 @@
 SettingsSchema GatewaySchema() {
   return SettingsSchema({
       {"node", "name", TextKey{"", true, {}},
-       "Name of this entry host, the only one of its kind in the fleet."},
+       "Name of this entry host; must be unique in the fleet. Leases are held "
+       "under it."},
       {"node", "data_centre", TextKey{"", true, {}},
-       "Data centre that this entry host stands in."},
+       "Data centre of this entry host."},
       {"log", "level",
        TextKey{"info", false, {"debug", "info", "warning", "error"}},
-       "Lowest level that is written."},
+       "Minimum level of the log lines that are written."},
       {"callers", "listen", AddressKey{"0.0.0.0:8080"},
-       "Where callers' requests arrive."},
+       "Address for callers' requests."},
       {"callers", "max_body_bytes",
        IntegerKey{4 * 1024 * 1024, 1024, 64 * 1024 * 1024},
-       "Largest body of a request, in bytes."},
+       "Maximum size of a request body, in bytes."},
       {"callers", "max_header_bytes", IntegerKey{16 * 1024, 1024, 1024 * 1024},
-       "Largest set of headers of a request, in bytes."},
+       "Maximum size of a request's headers, in bytes."},
       {"callers", "idle_timeout",
        DurationKey{Seconds(60), Seconds(1), Seconds(3600)},
-       "A caller's connection without a byte for this long is closed."},
+       "Time after which a caller's connection without a request is closed."},
       {"callers", "default_deadline",
        DurationKey{Seconds(60), Milliseconds(10), Seconds(3600)},
-       "Time for a whole answer where the caller names none."},
+       "Deadline of a request whose caller sets none, as the time from its "
+       "arrival to the end of its response."},
       {"callers", "longest_deadline",
        DurationKey{Seconds(600), Seconds(1), Seconds(3600)},
-       "Longest time that a caller may name."},
+       "Maximum deadline of a request; a later one that the caller sets is "
+       "reduced to it."},
       {"admin", "listen", AddressKey{"127.0.0.1:8081"},
-       "Where health, readiness, metrics and status are read."},
+       "Address for health checks and status; in the gateway also for "
+       "readiness checks and metrics."},
       {"store", "address", AddressKey{""},
        "Address of the platform's object API."},
       {"store", "timeout",
        DurationKey{Seconds(2), Milliseconds(10), Seconds(60)},
-       "Longest wait for an answer of the object API."},
+       "Timeout of a call to the object API."},
       {"store", "watch_wait",
        DurationKey{Seconds(30), Seconds(1), Seconds(300)},
-       "How long the object API may hold a watch without a change."},
+       "Time for which the object API may hold a watch request open without a "
+       "change."},
       {"peers", "listen", AddressKey{"0.0.0.0:8090"},
-       "Where other entry hosts ask this one."},
+       "Address for requests of other entry hosts; published to them."},
       {"peers", "seeds", AddressListKey{},
-       "Some entry hosts' peer addresses; the others are learned from them."},
+       "Peer addresses of some entry hosts, from which the others are "
+       "discovered."},
       {"peers", "key", TextKey{"", true, {}, 16},
-       "Secret that all entry hosts share; it authenticates their messages."},
+       "Secret shared by all entry hosts; it authenticates their messages."},
       {"peers", "interval",
        DurationKey{Milliseconds(250), Milliseconds(20), Seconds(5)},
-       "How often a neighbour is asked for news."},
+       "Interval at which this host queries its neighbours for changes."},
       {"peers", "neighbours", IntegerKey{2, 1, 16},
-       "How many entry hosts this one asks."},
+       "Number of entry hosts that this host queries in each interval."},
       {"peers", "monitors", IntegerKey{3, 1, 64},
-       "How many entry hosts watch the members of one group."},
+       "Number of entry hosts that read the heartbeats of a group's members."},
       {"peers", "watchers", IntegerKey{2, 1, 64},
-       "How many entry hosts of a data centre watch the object API."},
+       "Number of entry hosts in each data centre that watch the object API; "
+       "the others receive the objects from them."},
       {"keys", "partitions", IntegerKey{4, 1, 1024},
-       "Partitions of the idempotency keys; the same on every entry host. Few "
-       "partitions put many keys into one write."},
+       "Number of partitions of the idempotency keys; must be the same on "
+       "every entry host. With fewer partitions, each write covers more keys."},
       {"keys", "gather",
        DurationKey{Milliseconds(40), Milliseconds(0), Seconds(1)},
-       "How long orders about keys gather for one write."},
+       "Minimum interval between two batch writes of a key partition."},
       {"keys", "retention",
        DurationKey{Seconds(86400), Seconds(60), Seconds(7 * 86400)},
-       "How long a key is remembered at the least."},
+       "Minimum time for which an idempotency key is remembered."},
       {"routing", "policy",
        TextKey{"predicted", false, {"predicted", "round-robin"}},
-       "How a group is chosen; round-robin is the baseline of measurements."},
+       "How the group for a request is chosen. predicted: by the shortest "
+       "predicted time to first token; round-robin: in turn, the baseline for "
+       "measurements."},
       {"routing", "evidence_bound",
        DurationKey{Seconds(1), Milliseconds(50), Seconds(10)},
-       "A group answers only while the evidence that it is whole is at most "
-       "this old."},
+       "Maximum age of the evidence that a group is whole. With older evidence "
+       "the group gets no requests and its responses are not forwarded."},
       {"routing", "evidence_mode",
        TextKey{"bound", false, {"bound", "confirm"}},
-       "confirm: each piece of an answer waits for evidence that is younger "
-       "than its arrival."},
+       "When a part of a response is forwarded. bound: while the evidence is "
+       "within evidence_bound; confirm: once there is evidence newer than the "
+       "part's arrival."},
       {"routing", "beat_interval",
        DurationKey{Milliseconds(250), Milliseconds(20), Seconds(5)},
-       "How often members write a line of evidence."},
+       "Interval at which group members send heartbeats."},
       {"routing", "wait_for_group",
        DurationKey{Seconds(5), Milliseconds(0), Seconds(60)},
-       "How long a request waits when no whole group serves."},
+       "Maximum time that a request is queued while no whole group is "
+       "serving."},
       {"routing", "most_waiting", IntegerKey{10000, 0, 1000000},
-       "Requests of one service that may wait for room."},
+       "Maximum number of queued requests for each service and adapter."},
       {"routing", "most_attempts", IntegerKey{4, 1, 10},
-       "Attempts of one request, the first one included."},
+       "Maximum number of attempts for each request, including the first; an "
+       "attempt that is known not to have run is not counted."},
       {"drain", "grace", DurationKey{Seconds(5), Milliseconds(0), Seconds(600)},
-       "How long a stopping entry host still takes requests while the "
-       "platform's balancer learns that it is unready."},
+       "Time for which a stopping entry host still accepts requests, until the "
+       "platform's load balancer has detected that it is not ready."},
   });
 }
 
