--- a/include/filbertrack/controller.h
+++ b/include/filbertrack/controller.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// The control loops of one entry host: takes the leases of fabric domains that
-/// nobody holds, and keeps the groups of those it holds as declared. All it
-/// decides is in the domains' objects, so any other controller can go on.
+/// Control loop of one entry host. Acquires the leases of fabric domains that
+/// no controller holds and reconciles the groups of its domains with the
+/// declared resources. All decisions are stored in the domain objects, so that
+/// any other controller can continue.
 
 #include <map>
 #include <memory>
@@ -30,8 +31,8 @@
 
   Result<Address> Listen();
 
-  /// Gives the leases back, so that successors need not wait, then stops the
-  /// loop.
+  /// Releases the leases, so that successors need not wait for their expiry,
+  /// then stops the loop. Waits at most 2 s for the writes.
   void Stop();
 
  private:
@@ -59,8 +60,9 @@
                  const std::string& text,
                  uint64_t term,
                  const StoreResponse& response);
-  /// Takes over what the store has; the domain is verified for `term` if that
-  /// is what this controller wrote.
+  /// Applies the stored state of a domain. If it equals `own_text`, this
+  /// controller's write took effect, and the domain counts as verified in the
+  /// lease term `term`.
   void ApplyStoredState(const std::string& name,
                         const StoredObject& object,
                         const std::string& own_text,
--- a/include/filbertrack/controller_feed.h
+++ b/include/filbertrack/controller_feed.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// Where a controller has the store's objects from: the entry host's own
-/// gateway, asked as an observer, so that watches at the store do not grow with
-/// controllers. While the gateway does not answer, the controller watches the
-/// store itself: a fault of one program does not stop the other.
+/// Source of the store's objects for a controller. It queries the gateway of
+/// the same entry host as an observer, so that the number of watches at the
+/// store does not grow with the number of controllers. While the gateway does
+/// not answer, the controller watches the store itself, so that a fault of the
+/// gateway does not stop it.
 
 #include <functional>
 #include <memory>
--- a/source/controller.cc
+++ b/source/controller.cc
@@ -14,7 +14,7 @@
 
 constexpr size_t kIdleConnections = 1;
 constexpr Duration kPassInterval = Milliseconds(100);
-/// How long a stopping controller waits for its last writes.
+/// Maximum wait for the last writes when the controller stops.
 constexpr Duration kStopTimeout = Seconds(2);
 
 Json JoinOrderBody(const Group& group,
@@ -180,8 +180,8 @@
       ObserveHost(domain.views[host.name], *evidence, m_plan_policy, now);
     }
   }
-  // Right after the lease was taken no host has been heard yet, and all of them
-  // would look lost.
+  // Immediately after the lease was acquired, no host has been heard from, and
+  // all of them would count as lost.
   if (!domain.lease_held_since) {
     domain.lease_held_since = now;
   }
@@ -253,8 +253,9 @@
         text, term);
     return;
   }
-  // A store that gave no answer may have taken the write, and a conflict may be
-  // with that very write. The object itself tells.
+  // Without a response the write may still have taken effect, and a conflict
+  // may have been caused by this very write. Reading the object back shows
+  // which.
   m_store.Get(std::string(kDomainStatePrefix) + name,
               [this, name, text, term](const StoreResponse& read) {
                 if (read.status == StoreStatus::kOk) {
@@ -315,9 +316,9 @@
   if (row == nullptr || domain.orders.contains(host)) {
     return;
   }
-  // Asked on the clock right before the send: a controller that was paused
+  // Checks the lease immediately before sending: a controller that was paused
   // since its decision may have lost the lease, and an engine that ignores
-  // fencing numbers would obey it.
+  // fencing numbers would carry out the order.
   if (!MayActOn(domain)) {
     return;
   }
--- a/source/controller_domain.h
+++ b/source/controller_domain.h
@@ -9,7 +9,7 @@
 
 namespace filbertrack {
 
-/// One fabric domain as this controller knows it.
+/// State of one fabric domain as this controller knows it.
 struct Controller::Domain {
   DomainHosts hosts;
   DomainState state;
@@ -25,10 +25,11 @@
   };
   std::map<std::string, ObservedPhase> observed_phases;
   std::map<std::string, TimePoint> phase_since;
-  /// One order at a time to each host.
+  /// Orders in flight, at most one for each host.
   std::map<std::string, std::unique_ptr<HttpCall>> orders;
   bool writing = false;
-  /// Since when this controller has held the lease without a break.
+  /// Start of the current uninterrupted time in which this controller has held
+  /// the lease.
   std::optional<TimePoint> lease_held_since;
 };
 
--- a/source/controller_feed.cc
+++ b/source/controller_feed.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kRequestTimeout = Seconds(1);
-/// Silence of the gateway after which the store itself is watched.
+/// The store itself is watched if the gateway has not answered for this long.
 constexpr Duration kGatewaySilenceTimeout = Seconds(2);
 
 }  // namespace
@@ -48,7 +48,8 @@
 }
 
 void ControllerFeed::RequestObjects() {
-  // Without a name: an observer is no member, and nothing is lent to it.
+  // The request has no sender name: an observer is not a member and receives no
+  // loans.
   ExchangeRequest request;
   request.cache_digest = m_cache.Digest();
   request.wanted_objects = std::move(m_wanted_keys);
--- a/source/controller_lease.cc
+++ b/source/controller_lease.cc
@@ -6,16 +6,17 @@
 #include "filbertrack/base_hash.h"
 #include "filbertrack/log.h"
 
-/// The part of the controller that holds and takes leases.
+/// Acquisition and renewal of the controller's leases.
 
 namespace filbertrack {
 
 namespace {
 
-/// Challengers for one lease spread over this much of its duration.
+/// Competing controllers spread their attempts over this fraction of the lease
+/// duration.
 constexpr double kRankSpreadFactor = 0.3;
 constexpr uint64_t kRankSteps = 1000;
-/// Controllers of other data centres wait this part of the duration longer.
+/// Controllers of other data centres wait this many lease durations longer.
 constexpr double kRemoteDelayFactor = 4;
 
 }  // namespace
@@ -32,9 +33,9 @@
                      });
 }
 
-/// Renews the one object that tells that this controller lives. Its value
-/// changes every time, so that its own text shows whether a write whose answer
-/// was lost took effect.
+/// Renews the heartbeat object, which shows that this controller is alive. The
+/// value changes with each write, so that reading it back after a lost response
+/// shows whether the write took effect.
 void Controller::Heartbeat() {
   if (m_heartbeat_writing || m_stopping) {
     return;
@@ -71,7 +72,7 @@
       static_cast<double>(RendezvousWeight(domain.hosts.domain, m_node) %
                           kRankSteps) /
       kRankSteps;
-  // Controllers beside the domain's hosts go first.
+  // Controllers in the data centre of the domain's hosts go first.
   const bool is_local =
       domain.hosts.data_centre == m_settings.Text("node", "data_centre");
   const double factor =
@@ -84,8 +85,8 @@
   const TimePoint now = MonotonicNow();
   const std::string& holder = domain.state.lease.holder;
   const bool held_by_other = !holder.empty() && holder != m_node;
-  // One reading when the holder is new, and one when its lease could have run
-  // out since; more would only load the store.
+  // Reads the holder's heartbeat once when the holder is new, and once when its
+  // lease may have expired since. More reads would only add load on the store.
   const TimePoint due = domain.holder.first_seen + m_lease_policy.duration +
                         m_lease_policy.order_ttl + RankDelay(domain);
   const bool is_new = domain.holder.holder != holder;
@@ -94,8 +95,8 @@
     ReadHolderHeartbeat(domain);
     return;
   }
-  // A restarted controller finds its own name in the lease. It waits like any
-  // other, because an order of its earlier process may still be on its way.
+  // A restarted controller finds its own name in the lease. It still waits for
+  // `order_ttl`, because an order of its previous process may be in transit.
   const bool may_acquire =
       holder == m_node
           ? now >= domain.lease_seen + m_lease_policy.order_ttl
@@ -119,8 +120,8 @@
                holder](const StoreResponse& response) {
                 Domain& read = *m_domains.find(name)->second;
                 read.reading_holder_heartbeat = false;
-                // No answer tells nothing: a store that is down must not make
-                // a live holder look dead.
+                // Without a response the holder's state is unknown: an
+                // unavailable store must not make a live holder appear dead.
                 if (response.status == StoreStatus::kOk ||
                     response.status == StoreStatus::kNotFound) {
                   ObserveHolder(read.holder, holder, response.object.version,
