--- a/include/filbertrack/config_follower.h
+++ b/include/filbertrack/config_follower.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Brings a process's configuration to the generation that the cached root
-/// names, fetching what the cache lacks from the store.
+/// Follows the configuration root object in the cache and adopts each newer
+/// generation. Objects that the cache lacks are fetched from the store.
 
 #include <functional>
 #include <set>
@@ -15,11 +15,16 @@
 
 class ConfigFollower {
  public:
+  /// `on_adopted` is called after a newer generation has come into force.
   ConfigFollower(StoreClient& store,
                  ObjectCache& cache,
                  std::function<void()> on_adopted);
 
-  /// To be called whenever the cache has changed.
+  /// Must be called after every change of the cache. Drops obsolete objects
+  /// from the cache, then adopts the generation that the root names or starts
+  /// to fetch the next missing object. If the stored objects are inconsistent
+  /// or the resources are invalid, logs `config-refused` and keeps the present
+  /// set.
   void Follow();
 
   const ConfigSet& set() const { return m_set; }
--- a/include/filbertrack/config_resources.h
+++ b/include/filbertrack/config_resources.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The resources that operators declare, and one generation of them.
+/// Resources that operators declare in the configuration, and their validation.
 
 #include <cstdint>
 #include <map>
@@ -17,15 +17,17 @@
 
 enum class ServiceType { kModel, kPlain };
 
-/// What callers address: a model behind serving groups, or a plain service.
+/// A service that callers address: a model that serving groups run, or a plain
+/// service with backend servers of its own.
 struct Service {
   std::string name;
   ServiceType type = ServiceType::kModel;
-  /// From 0 (only stranded accelerators count) to 1 (only group downtime).
+  /// Weight of group downtime against stranded accelerators, from 0 (only
+  /// stranded accelerators count) to 1 (only downtime counts).
   double downtime_weight = 0.5;
   /// Plain services only.
   std::vector<Address> backend_servers;
-  /// Per backend server.
+  /// Limit of requests in flight to each backend server.
   int max_in_flight = 64;
 };
 
@@ -40,18 +42,18 @@
   std::string service;
 };
 
-/// Replicas of one model version, each on `members_per_replica` hosts of one
-/// fabric domain.
+/// Replicas of one model version. Each replica runs on `members_per_replica`
+/// hosts of one fabric domain.
 struct ServingGroup {
   std::string name;
   std::string service;
   std::string model_version;
-  /// Rolled back to when `model_version` fails to load.
+  /// Version to roll back to if `model_version` fails to load.
   std::string last_good_version;
   std::vector<std::string> adapters;
   int replicas = 1;
   int members_per_replica = 1;
-  /// Hosts kept free in each domain that holds a replica, to repair with.
+  /// Hosts kept free for repairs in each domain that holds a replica.
   int spares_per_domain = 0;
 };
 
@@ -63,7 +65,7 @@
 struct Workspace {
   std::string name;
   std::string key_sha256;
-  /// 0 is served first.
+  /// 0 is the highest priority.
   int priority = 1;
   std::vector<Entitlement> entitlements;
 };
@@ -77,16 +79,18 @@
   std::map<std::string, Workspace, std::less<>> workspaces;
 };
 
-/// Reads and validates a whole set: an object from "kind/name" to the fields.
-/// The error names the resource, the field, the value and what is allowed.
+/// Parses and validates a complete set: an object that maps "kind/name" to
+/// fields. The error names the resource, the field, the value and the allowed
+/// values.
 Result<Resources> ParseResources(const nlohmann::json& set);
 
-/// The workspace whose key hashes to `key_sha256`, or null.
+/// Returns the workspace whose key hashes to `key_sha256`, or null.
 const Workspace* FindWorkspaceByKey(const Resources& resources,
                                     std::string_view key_sha256);
 
-/// The model service that a caller's model name means: a service itself, or
-/// the one its adapter belongs to. Null where there is none.
+/// The service that a caller's model name refers to: the service of that name,
+/// or the service of the adapter of that name. `service` is null if there is
+/// neither.
 struct ModelTarget {
   const Service* service = nullptr;
   std::string adapter;
--- a/include/filbertrack/state_cache.h
+++ b/include/filbertrack/state_cache.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// The objects of the platform's object API as one process knows them. The
-/// store orders the versions of each object; this keeps the highest one seen,
-/// from whomever it came, so that a stale read or a late peer takes nothing
-/// back. Two caches compare digests and exchange only what differs.
+/// Cache of the objects of the platform's object API in one process. The store
+/// orders the versions of each object, and the cache keeps the highest version
+/// received from any source, so that a stale read or a delayed message from a
+/// peer cannot revert an object. Two caches compare digests and exchange only
+/// what differs.
 
 #include <cstdint>
 #include <map>
@@ -13,15 +14,15 @@
 
 namespace filbertrack {
 
-/// A stored value with the store's version of it; versions of one object only
-/// grow. Version 0 means that the object does not exist.
+/// A stored value and its version. The store only increases the version of an
+/// object. Version 0 means that the object does not exist.
 struct StoredObject {
   std::string key;
   std::string value;
   uint64_t version = 0;
 };
 
-/// Key and version, for comparing caches.
+/// Key and version of an object, for comparing caches.
 struct ObjectVersion {
   std::string key;
   uint64_t version = 0;
@@ -29,23 +30,26 @@
 
 class ObjectCache {
  public:
-  /// Keeps `object` if it is newer than what is known; true if it was.
+  /// Stores `object` if it is newer than the cached version; returns whether it
+  /// was.
   bool Offer(const StoredObject& object);
 
-  /// Null where the object is not known.
+  /// Returns null if the object is not cached.
   const StoredObject* Find(std::string_view key) const;
 
-  /// All known objects whose key starts with `prefix`, in the order of keys.
+  /// Returns all cached objects whose key starts with `prefix`, sorted by key.
   std::vector<const StoredObject*> List(std::string_view prefix) const;
 
   void Forget(std::string_view key);
 
-  /// Equal for equal caches.
+  /// Returns a digest of all keys and versions. Equal caches have equal
+  /// digests.
   uint64_t Digest() const { return m_digest; }
 
   std::vector<ObjectVersion> Inventory() const;
 
-  /// What of `inventory` is newer than what is known here.
+  /// Returns the keys in `inventory` whose version is newer than the cached
+  /// one.
   std::vector<std::string> Missing(
       const std::vector<ObjectVersion>& inventory) const;
 
--- a/include/filbertrack/store_client.h
+++ b/include/filbertrack/store_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Client of the platform's object API over HTTP. Every write is conditional.
+/// HTTP client of the platform's object API. Every write is conditional.
 
 #include <cstdint>
 #include <functional>
@@ -18,11 +18,11 @@
 
 enum class StoreStatus {
   kOk,
-  /// The object has another version than the write demanded.
+  /// The version of the object differs from the one that the write expected.
   kConflict,
   kNotFound,
-  /// No answer, or one that says nothing about the outcome. A write may have
-  /// taken effect; who cares reads it back.
+  /// No response, or one that does not show the outcome. A write may have taken
+  /// effect; a caller that needs to know reads the object back.
   kUnavailable,
 };
 
@@ -33,15 +33,15 @@
 
 struct WatchResponse {
   StoreStatus status = StoreStatus::kUnavailable;
-  /// Ask again from here.
+  /// Revision to pass to the next Watch().
   uint64_t revision = 0;
   std::vector<StoredObject> objects;
 };
 
 class StoreClient {
  public:
-  /// `timeout` bounds every call but a watch, which is answered within
-  /// `watch_wait` and bounded by the sum of both.
+  /// `timeout` limits every call except Watch(). The store answers a watch
+  /// within `watch_wait`, so the limit of a watch is the sum of both.
   StoreClient(EventLoop& loop,
               Address address,
               Duration timeout,
@@ -49,19 +49,20 @@
 
   void Get(const std::string& key, std::function<void(StoreResponse)> done);
 
-  /// Writes if the object still has `expected_version`.
+  /// Writes the object if it still has `expected_version`; 0 creates it.
   void Put(const std::string& key,
            std::string value,
            uint64_t expected_version,
            std::function<void(StoreResponse)> done);
 
-  /// Objects under `prefix` changed after `revision`; waits for a first one.
-  /// Revision 0 answers at once with all of them.
+  /// Retrieves the objects under `prefix` that changed after `revision`,
+  /// waiting for the first change for up to `watch_wait`. Revision 0 retrieves
+  /// all objects immediately.
   void Watch(const std::string& prefix,
              uint64_t revision,
              std::function<void(WatchResponse)> done);
 
-  /// Calls made so far, watches included.
+  /// Returns the number of calls made so far, including watches.
   uint64_t calls() const { return m_calls; }
 
  private:
--- a/include/filbertrack/store_watch.h
+++ b/include/filbertrack/store_watch.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Keeps a cache in step with the object API by watching prefixes. While the
-/// store does not answer, the cache stays as it is and the watch asks again.
+/// Updates a cache by watching prefixes of the object API. While the store does
+/// not respond, the cache stays unchanged and the watch is retried with
+/// exponential backoff.
 
 #include <functional>
 #include <memory>
@@ -20,10 +21,11 @@
              ObjectCache& cache,
              std::function<void()> on_change);
 
-  /// Watches these prefixes from now on; empty: none.
+  /// Replaces the watched prefixes; an empty list stops watching.
   void SetPrefixes(const std::vector<std::string>& prefixes);
 
-  /// Whether the last answer of each watch was one.
+  /// Returns whether the last call for each watched prefix succeeded; true if
+  /// none is watched.
   bool healthy() const;
 
  private:
--- a/source/config_follower.cc
+++ b/source/config_follower.cc
@@ -39,8 +39,9 @@
 void ConfigFollower::Adopt(ConfigSet set) {
   Result<Resources> resources = ParseResources(set.resources);
   if (!resources) {
-    // Operators' commands validate before they write, so this is a set of a
-    // newer program. The present one stays in force, and status shows it.
+    // Operators' commands validate a change before they write it, so this set
+    // was written by a newer version of the program. The present set stays in
+    // force, and the status page shows its generation.
     Log(LogLevel::kError, "config-refused",
         {{"generation", set.generation}, {"why", resources.error().message}});
     return;
--- a/source/config_generation.cc
+++ b/source/config_generation.cc
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-/// Runs `read` on the parsed text; a value of another shape is an error that
-/// names `what`.
+/// Parses `text` and converts it with `read`. Returns an error that names
+/// `what` if the text is not JSON or has another structure.
 template <typename Read>
 auto ParseAs(std::string_view text, const std::string& what, Read read)
     -> Result<decltype(read(Json()))> {
@@ -19,11 +19,12 @@
     return read(Json::parse(text));
   } catch (const Json::exception& error) {
     return Fail(ResultCode::kResourceInvalid,
-                "The " + what + " cannot be read: " + error.what());
+                "The " + what + " cannot be parsed: " + error.what());
   }
 }
 
-/// The deltas from a base to the root, newest first, or what is in the way.
+/// Deltas from a base generation to the root, newest first. If a delta is
+/// missing or invalid, `complete` is false and `problem` says why.
 struct Chain {
   std::vector<ConfigDelta> deltas;
   FollowStep problem;
@@ -44,9 +45,10 @@
     }
     Result<ConfigDelta> delta = ParseConfigDelta(object->value);
     if (!delta || delta->record.generation != generation) {
-      chain.problem = CorruptConfig{"The configuration change '" + key +
-                                    "' is not that of generation " +
-                                    std::to_string(generation) + "."};
+      chain.problem =
+          CorruptConfig{"The configuration change '" + key +
+                        "' cannot be parsed or does not belong to generation " +
+                        std::to_string(generation) + "."};
       return chain;
     }
     key = delta->record.previous_delta_key;
@@ -185,9 +187,9 @@
   }
   base.generation = root->generation;
   if (ConfigSetHash(base.resources) != root->set_sha256) {
-    return CorruptConfig{"The set of resources of generation " +
+    return CorruptConfig{"The resources of generation " +
                          std::to_string(root->generation) +
-                         " does not have the hash that the root names."};
+                         " do not match the hash in the configuration root."};
   }
   return AdoptSet{std::move(base)};
 }
--- a/source/config_resources.cc
+++ b/source/config_resources.cc
@@ -16,7 +16,7 @@
 constexpr size_t kSha256HexDigits = 64;
 constexpr double kMaxRequestsPerSecond = 1e6;
 
-/// Reads the fields of one resource and remembers the first fault.
+/// Reads the fields of one resource and records the first error.
 class FieldReader {
  public:
   FieldReader(std::string resource, const Json& fields)
@@ -32,7 +32,7 @@
       return fallback;
     }
     if (!value->is_string()) {
-      SetError(field, *value, "a text");
+      SetError(field, *value, "a string");
       return fallback;
     }
     return value->get<std::string>();
@@ -78,12 +78,12 @@
       return texts;
     }
     if (!value->is_array()) {
-      SetError(field, *value, "a list of texts");
+      SetError(field, *value, "a list of strings");
       return texts;
     }
     for (const Json& entry : *value) {
       if (!entry.is_string()) {
-        SetError(field, entry, "a text");
+        SetError(field, entry, "a string");
         return texts;
       }
       texts.push_back(entry.get<std::string>());
@@ -91,7 +91,7 @@
     return texts;
   }
 
-  /// The raw list of a field; empty where it is absent.
+  /// Returns the raw list of a field; empty if the field is absent.
   Json List(const std::string& field) {
     const Json* value = Find(field);
     if (value == nullptr) {
@@ -113,17 +113,18 @@
     m_error = "The resource '" + m_resource + "', field '" + field +
               "', has the value " +
               value.dump(-1, ' ', false, Json::error_handler_t::replace) +
-              "; allowed is " + allowed + ".";
+              "; allowed: " + allowed + ".";
   }
 
-  /// The first fault, an unknown field included; empty where all is well.
+  /// Returns the first error, or an empty string. Fields that were not read are
+  /// unknown and count as errors.
   std::string Finish() {
     if (!m_error.empty() || !m_fields.is_object()) {
       return m_error;
     }
     for (const auto& [field, value] : m_fields.items()) {
       if (!m_read_fields.contains(field)) {
-        SetError(field, value, "no such field");
+        SetError(field, value, "nothing, because the field is unknown");
       }
     }
     return m_error;
@@ -204,15 +205,16 @@
   return workspace;
 }
 
-/// Checks what one resource says of another.
+/// Returns an error for the first reference to an undeclared resource, or an
+/// empty string.
 std::string FindDanglingReference(const Resources& resources) {
   const auto lacks_service = [&resources](const std::string& name) {
     return !resources.services.contains(name);
   };
   const auto error = [](const std::string& resource, const std::string& field,
                         const std::string& value) {
-    return "The resource '" + resource + "', field '" + field + "', names '" +
-           value + "', which this change does not declare.";
+    return "The resource '" + resource + "', field '" + field +
+           "', refers to '" + value + "', which is not declared.";
   };
   for (const auto& [name, version] : resources.model_versions) {
     if (lacks_service(version.service)) {
@@ -256,7 +258,7 @@
                                        const std::string& kind) {
   return Fail(ResultCode::kResourceInvalid,
               "The resource '" + id + "' has the kind '" + kind +
-                  "'; allowed are service, model_version, adapter, "
+                  "'; allowed: service, model_version, adapter, "
                   "serving_group and workspace.");
 }
 
@@ -308,8 +310,8 @@
 
 const Workspace* FindWorkspaceByKey(const Resources& resources,
                                     std::string_view key_sha256) {
-  // Every workspace is compared, so that the time does not tell which one
-  // matched or how far a wrong key came.
+  // Compares the key with all workspaces, so that the response time reveals
+  // neither which workspace matched nor how much of a wrong key did.
   const Workspace* found = nullptr;
   for (const auto& [name, workspace] : resources.workspaces) {
     if (ConstantTimeEqual(workspace.key_sha256, key_sha256)) {
--- a/source/state_cache.cc
+++ b/source/state_cache.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Objects are combined by exclusive or, so that the digest follows a change
-/// without reading the whole cache.
+/// Digest of one object. The cache's digest combines them by exclusive or, so
+/// that a change updates it without a pass over the whole cache.
 uint64_t ObjectDigest(std::string_view key, uint64_t version) {
   return Hash64(key, version);
 }
--- a/source/store_client.cc
+++ b/source/store_client.cc
@@ -34,7 +34,7 @@
     response.object = ParseObject(Json::parse(body));
     response.status = StoreStatus::kOk;
   } catch (const Json::exception&) {
-    // A body that cannot be read tells nothing of the outcome.
+    // A malformed body does not show the outcome.
     response.status = StoreStatus::kUnavailable;
   }
   return response;
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -12,7 +12,8 @@
 
 using Json = nlohmann::json;
 
-/// A history of changes as operators' commands write it to the store.
+/// Produces the objects that operators' commands write to the store for a
+/// sequence of changes.
 class FakeHistory {
  public:
   void Change(const Json& change) {
@@ -49,7 +50,8 @@
   uint64_t m_version = 0;
 };
 
-/// Follows as a node does, fetching what it is told to. Returns the set.
+/// Follows the configuration as a node does, taking requested objects from
+/// `store`. Returns the set in force at the end.
 ConfigSet FollowAll(ObjectCache& cache,
                     const std::map<std::string, StoredObject>& store,
                     ConfigSet own) {
@@ -66,9 +68,11 @@
   return own;
 }
 
-TEST_CASE("property: whatever roots a node hears of, it only goes forward") {
-  // A caller would be judged by a key that was taken back. Roots reach the node
-  // late, twice and out of order, as after a stale read.
+TEST_CASE(
+    "property: no sequence of roots makes a node revert to an older "
+    "generation") {
+  // Guards against reverting a change, such as the removal of a caller's key.
+  // Roots reach the node late, twice and out of order, as after a stale read.
   REQUIRE(rc::check("follow", [] {
     FakeHistory history;
     const int changes = *rc::gen::inRange(1, 20);
@@ -96,8 +100,9 @@
 }
 
 TEST_CASE("a node's cache does not grow with the number of changes") {
-  // Processes would end for lack of memory after weeks. What a later node needs
-  // to follow stays: the snapshot and the deltas after it.
+  // Guards against unbounded memory growth, which would exhaust the memory of
+  // processes after weeks. The objects that a new node needs must stay: the
+  // snapshot and the deltas after it.
   FakeHistory history;
   ObjectCache cache;
   ConfigSet own;
@@ -114,8 +119,9 @@
   CHECK(FollowAll(cache, history.m_store, ConfigSet()).generation == 103);
 }
 
-TEST_CASE("a set whose hash is not the root's is not put in force") {
-  // Callers are served by the present configuration. A delta was damaged.
+TEST_CASE("a set whose hash differs from the hash in the root is rejected") {
+  // Guards against adopting a damaged delta: the present configuration must
+  // stay in force.
   FakeHistory history;
   history.Change({{"service/a", Json::object()}});
   const std::string key = ConfigDeltaKey(1, "c1");
@@ -130,7 +136,8 @@
       std::holds_alternative<CorruptConfig>(FollowConfig(cache, ConfigSet())));
 }
 
-TEST_CASE("a fault in one resource names resource, field, value and allowed") {
+TEST_CASE(
+    "an error in a resource names resource, field, value and allowed values") {
   const auto resources =
       ParseResources({{"service/a", Json::object()},
                       {"workspace/w", {{"key_sha256", "short"}}}});
@@ -145,7 +152,7 @@
   CHECK(!ParseResources({{"thing/a", Json::object()}}));
 }
 
-TEST_CASE("property: no declared set crashes its reading") {
+TEST_CASE("property: no declared set crashes the parser") {
   REQUIRE(rc::check("resources", [] {
     const auto kind = *rc::gen::element<std::string>(
         "service", "workspace", "serving_group", "adapter", "model_version");
