--- a/include/filbertrack/event_loop.h
+++ b/include/filbertrack/event_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The one event loop of a process, on libevent, and its timers. The loop's
-/// adapters read the clock here and hand the time to the decisions.
+/// The process's libevent event loop and its timers. Adapters on the loop read
+/// the clock here and pass the time to the decision code.
 
 #include <functional>
 #include <memory>
@@ -13,17 +13,17 @@
 
 namespace filbertrack {
 
-/// Present time on the monotonic clock that also counts the time for which the
-/// host was suspended. On one that does not, a lease looks held when the host
-/// wakes although another host has taken it over, and orders of both reach the
-/// members.
+/// The current time of CLOCK_BOOTTIME, a monotonic clock that includes time
+/// during which the host was suspended. With CLOCK_MONOTONIC, a host that
+/// resumes would still consider its lease valid after another host has acquired
+/// it, and group members would receive orders from both.
 TimePoint MonotonicNow();
 
-/// Wall time in milliseconds; for records that people read and for what
-/// outlives a process, never for deciding how long something took.
+/// Wall-clock time in milliseconds since the Unix epoch, for logs and for data
+/// that outlives the process. Not for measuring durations: it can be set back.
 int64_t WallTimeMs();
 
-/// A timer; destroying it cancels it.
+/// A one-shot or repeating timer. Destroying it cancels it.
 class Timer {
  public:
   Timer(event_base* base,
@@ -41,9 +41,9 @@
   event* m_event;
 };
 
-/// Until OnReloadSignal() a signal to reload is passed over. By default it ends
-/// the process, as it did one that was told of new settings in the first 6 ms
-/// of its life; it reads them then anyway.
+/// Ignores SIGHUP until OnReloadSignal() is called. The default action would
+/// terminate a process that is told to reload within the first 6 ms after its
+/// start. Ignoring the signal loses nothing: the settings are read afterwards.
 void IgnoreReloadSignal();
 
 class EventLoop {
@@ -55,21 +55,24 @@
 
   event_base* base() const { return m_base; }
 
+  /// Runs `action` every `interval` until the timer is destroyed.
   std::unique_ptr<Timer> Every(Duration interval, std::function<void()> action);
+  /// Runs `action` once after `delay` unless the timer is destroyed first.
   std::unique_ptr<Timer> After(Duration delay, std::function<void()> action);
 
   /// Runs `action` once after `delay`; it cannot be cancelled.
   void Call(Duration delay, std::function<void()> action);
 
-  /// Runs `action` once from the loop, after the present callback returned.
+  /// Runs `action` once from the loop, after the current callback returns.
   void Post(std::function<void()> action);
 
   /// Calls `action` on SIGTERM and SIGINT.
   void OnStopSignal(std::function<void()> action);
 
-  /// Calls `action` on SIGHUP, which otherwise ends the process.
+  /// Calls `action` on SIGHUP, whose default action terminates the process.
   void OnReloadSignal(std::function<void()> action);
 
+  /// Blocks until Stop() is called or no event is pending.
   void Run();
   void Stop();
 
--- a/include/filbertrack/http_buffered_client.h
+++ b/include/filbertrack/http_buffered_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Calls whose whole answer is wanted within a time, and nothing else of them.
+/// HTTP calls that deliver one complete, buffered response within a timeout.
 
 #include <functional>
 #include <list>
@@ -13,26 +13,28 @@
 
 class BufferedHttpClient {
  public:
-  /// Status 0: there was no whole answer in time. A request that was sent may
-  /// have had its effect all the same.
+  /// `status` is 0 if the response was not complete within the timeout or the
+  /// call failed. The request may have taken effect nonetheless.
   using Done = std::function<void(int status, const std::string& body)>;
 
   struct Open;
-  /// Empty once the call has ended.
+  /// Expires when the call ends.
   using Handle = std::weak_ptr<Open>;
 
-  /// `max_idle` connections are kept for each address.
+  /// Keeps up to `max_idle` idle connections per address.
   BufferedHttpClient(EventLoop& loop, size_t max_idle);
   ~BufferedHttpClient();
   BufferedHttpClient(const BufferedHttpClient&) = delete;
   BufferedHttpClient& operator=(const BufferedHttpClient&) = delete;
 
+  /// Calls `done` once, unless the call is cancelled. `timeout` covers the
+  /// whole call, including the connect.
   Handle Start(const Address& address,
                HttpCallRequest request,
                Duration timeout,
                Done done);
 
-  /// Drops a call; its `done` is not called.
+  /// Aborts the call without calling `done`.
   void Cancel(const Handle& handle);
 
  private:
--- a/include/filbertrack/http_client.h
+++ b/include/filbertrack/http_client.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// HTTP/1.1 client on the loop, with kept connections per address.
+/// HTTP/1.1 client on the event loop, with a pool of idle connections per
+/// address.
 
 #include <functional>
 #include <limits>
@@ -16,53 +17,54 @@
 
 namespace filbertrack {
 
-/// What a call tells its owner. Each call ends with exactly one on_end or
-/// on_failure, unless it was cancelled.
+/// Callbacks of a call. Exactly one of on_end and on_failure is called, as the
+/// last one, unless the call is cancelled.
 struct HttpCallEvents {
-  /// Status and headers have arrived. Optional.
+  /// Status and headers were received. Optional.
   std::function<void(int status, const HttpHeaders& headers)> on_head;
-  /// A piece of the body has arrived.
+  /// Part of the body was received. Optional.
   std::function<void(std::string_view bytes)> on_bytes;
-  /// The answer is whole.
+  /// The response is complete.
   std::function<void(int status)> on_end;
-  /// There will be no whole answer. `bytes_may_have_left` is false only where
-  /// no byte of the request was given to the operating system.
+  /// The call failed before the response was complete. `bytes_may_have_left` is
+  /// false only if no byte of the request was passed to the operating system.
   std::function<void(bool bytes_may_have_left)> on_failure;
-  /// The request goes out on a connection that is open. Optional.
+  /// The request was queued for sending on an open connection. Optional.
   std::function<void()> on_sent;
 };
 
 struct HttpCallRequest {
   HttpMethod method = HttpMethod::kGet;
-  /// Sent in place of `method` where it is not empty.
+  /// Sent instead of `method` if not empty.
   std::string method_text;
   std::string target;
-  /// `Host` is added where it is absent.
+  /// `Host` is added if absent.
   HttpHeaders headers;
   std::string body;
-  /// No byte of the answer for this long fails the call; 0: no limit.
+  /// The call fails if no byte of the response arrives for this long; 0 means
+  /// no limit.
   Duration idle_timeout{0};
-  /// A connection that is not open after this long fails the call.
+  /// The call fails if connecting takes longer than this.
   Duration connect_timeout = Seconds(3);
-  /// Opens a connection of its own. A kept one may have been closed by the
-  /// server just now, and then nobody knows whether the request ran.
+  /// Opens a new connection. The server may be closing an idle one just as the
+  /// request is sent, which leaves unknown whether the request ran.
   bool fresh_connection = false;
-  /// After the call at most this many idle connections to the address stay
-  /// open, within the client's own bound.
+  /// Limits the idle connections to the address that remain open after the
+  /// call, in addition to the client's `max_idle`.
   size_t max_kept = std::numeric_limits<size_t>::max();
 };
 
 class HttpClient;
 
-/// One call in flight. Destroying it cancels the call and closes the
-/// connection, which is how a backend server learns that the caller went away.
+/// A call in flight. Destroying it cancels the call and closes the connection,
+/// which tells a backend server that the caller has disconnected.
 class HttpCall {
  public:
   ~HttpCall();
   HttpCall(const HttpCall&) = delete;
   HttpCall& operator=(const HttpCall&) = delete;
 
-  /// Stops or resumes the reading of the answer.
+  /// Pauses or resumes reading the response.
   void SetReading(bool reading);
 
  private:
@@ -76,7 +78,7 @@
 
 class HttpClient {
  public:
-  /// `max_idle` connections are kept for each address.
+  /// Keeps up to `max_idle` idle connections per address.
   HttpClient(EventLoop& loop, size_t max_idle);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
@@ -86,7 +88,8 @@
                                   HttpCallRequest request,
                                   HttpCallEvents events);
 
-  /// Connections opened so far.
+  /// Number of connections opened since construction, including failed
+  /// attempts.
   uint64_t connections_opened() const;
 
  private:
--- a/include/filbertrack/http_headers.h
+++ b/include/filbertrack/http_headers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Header fields of HTTP messages.
+/// HTTP header fields.
 
 #include <string>
 #include <string_view>
@@ -11,13 +11,14 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// Compares names of header fields, which ignore the case of letters.
+/// Compares header field names, ignoring ASCII case.
 bool EqualHeaderNames(std::string_view left, std::string_view right);
 
-/// The first value of a field; empty where it is absent.
+/// The value of the first field with this name; empty if there is none.
 std::string_view FindHeader(const HttpHeaders& headers, std::string_view name);
 
-/// Whether a field concerns one connection only and must not be passed on.
+/// Whether a field applies to a single connection and must not be forwarded.
+/// Includes Content-Length and Expect, which each host handles itself.
 bool IsHopByHop(std::string_view name);
 
 }  // namespace filbertrack
--- a/include/filbertrack/http_message.h
+++ b/include/filbertrack/http_message.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Reads HTTP/1.1 messages as their bytes arrive, by the http_parser library.
-/// A message whose framing is ambiguous (two lengths, a length beside chunks)
-/// is an error: one side's end of it would be another side's middle, and one
-/// request could hide in another.
+/// Incremental parser for HTTP/1.1 messages, based on the http_parser library.
+/// Messages with ambiguous framing (two Content-Length fields, or
+/// Content-Length together with chunked encoding) are rejected: two hosts could
+/// disagree about where the message ends, which allows request smuggling.
 
 #include <functional>
 #include <memory>
@@ -17,19 +17,19 @@
 enum class HttpMessageKind { kRequest, kResponse };
 
 struct HttpHead {
-  std::string method;  ///< Of a request.
-  std::string target;  ///< Of a request.
-  int status = 0;      ///< Of a response.
+  std::string method;  ///< Requests only.
+  std::string target;  ///< Requests only.
+  int status = 0;      ///< Responses only.
   HttpHeaders headers;
-  /// Another message may follow on the connection.
+  /// The connection can be used for another message.
   bool keep_alive = false;
-  /// The body ends where the connection does.
+  /// The body has no stated length and ends when the connection is closed.
   bool ends_with_connection = false;
 };
 
 struct HttpMessageEvents {
-  /// The head is whole. False: the message has no body whatever its head says,
-  /// as the answer to HEAD.
+  /// The head is complete. Returns false if the message has no body regardless
+  /// of its headers, as in a response to HEAD.
   std::function<bool(const HttpHead& head)> on_head;
   std::function<void(std::string_view bytes)> on_body;
   std::function<void()> on_complete;
@@ -46,16 +46,17 @@
   HttpMessageParser(const HttpMessageParser&) = delete;
   HttpMessageParser& operator=(const HttpMessageParser&) = delete;
 
-  /// Takes bytes up to the end of the present message at most, and returns how
-  /// many. It must not be called again after a fault.
+  /// Parses bytes up to the end of the current message at most, and returns how
+  /// many were consumed. Must not be called again after a fault.
   size_t Push(std::string_view bytes);
 
-  /// The connection ended in order: ends a body that ends with it.
+  /// Signals an orderly end of the connection, which completes a message with
+  /// `ends_with_connection`.
   void PushEnd();
 
   HttpMessageFault fault() const;
 
-  /// No byte of the next message has been read.
+  /// Whether no byte of the next message has been parsed.
   bool at_start() const;
 
  private:
--- a/include/filbertrack/http_server.h
+++ b/include/filbertrack/http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP/1.1 server on the loop.
+/// HTTP/1.1 server on the event loop.
 
 #include <cstdint>
 #include <functional>
@@ -26,8 +26,8 @@
 class HttpConnection;
 struct HttpHead;
 
-/// One request and its answer. It stays valid after the caller went away:
-/// answering then does nothing.
+/// A request and its response. Remains valid after the caller disconnects;
+/// writing a response has no effect then.
 class HttpExchange {
  public:
   HttpExchange(std::weak_ptr<HttpConnection> connection, HttpHead head);
@@ -36,38 +36,44 @@
   HttpExchange& operator=(const HttpExchange&) = delete;
 
   HttpMethod method() const;
-  /// The method as the caller wrote it.
+  /// The method as received.
   const std::string& method_text() const { return m_method; }
-  /// Path without the query, as the caller wrote it.
+  /// The path without the query, not decoded.
   std::string_view path() const;
-  /// Path with the query.
+  /// The path with the query, not decoded.
   std::string_view target() const { return m_target; }
+  /// The decoded value of a query parameter; empty if it is absent.
   std::string Query(const std::string& name) const;
-  /// Empty where the header is absent.
+  /// Empty if the header is absent.
   std::string_view Header(std::string_view name) const {
     return FindHeader(m_headers, name);
   }
   const HttpHeaders& Headers() const { return m_headers; }
   const std::string& body() const { return m_body; }
 
-  /// Whether the caller's connection still waits for the answer.
+  /// Whether the response can still be written: it has not ended and the
+  /// caller's connection is open.
   bool IsOpen() const { return !m_ended && !m_connection.expired(); }
 
-  /// Answers whole.
+  /// Sends a complete response.
   void Reply(int status, const HttpHeaders& headers, std::string_view body);
 
-  /// Starts a chunked answer; then Send() and End() or Abort().
+  /// Starts a chunked response, continued by Send() and ended by End() or
+  /// Abort().
   void StartStream(int status, const HttpHeaders& headers);
   void Send(std::string_view bytes);
   void End();
-  /// Closes the connection without the last chunk, so that a client sees that
-  /// the answer is not whole. Bytes of Send() leave before.
+  /// Closes the connection without the final chunk, so that the client can
+  /// detect that the response is incomplete. Bytes passed to Send() are sent
+  /// first.
   void Abort();
 
-  /// Bytes that wait for a slow caller to read them.
+  /// Bytes written and not yet accepted by the operating system, as when the
+  /// caller reads slowly.
   size_t UnsentBytes() const;
 
-  /// Called once if the caller's connection closes before the answer ended.
+  /// Sets an action that runs once if the caller's connection closes before the
+  /// response has ended.
   void OnCallerDisconnected(std::function<void()> action);
 
  private:
@@ -88,11 +94,13 @@
 struct HttpServerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 1024 * 1024;
-  /// A caller that began a request has this long to send all of its head.
+  /// Maximum time from the first byte of a request to its last, body included;
+  /// a slower request is rejected with status 408.
   Duration header_timeout = Seconds(60);
-  /// A kept connection without a request for this long is closed.
+  /// An open connection without a request for this long is closed.
   Duration idle_timeout = Seconds(60);
-  /// A caller that takes no byte of its answer for this long is let go.
+  /// A connection whose caller accepts no byte of its response for this long is
+  /// closed.
   Duration unread_timeout = Seconds(60);
 };
 
@@ -105,29 +113,33 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Port 0 lets the kernel choose. Returns the address in use.
+  /// Returns the bound address; port 0 lets the kernel choose the port. Fails
+  /// with kSettingsInvalid if the address cannot be bound.
   Result<Address> Listen(const Address& address);
 
-  /// Closes the listening sockets; open connections go on.
+  /// Closes the listening sockets; open connections are not affected.
   void StopListening();
 
-  /// Takes effect at once, but for the limit on heads: it holds for connections
-  /// that open from now on.
+  /// Applies to open connections too, except `max_header_bytes`, which applies
+  /// to connections accepted from now on.
   void SetLimits(const HttpServerLimits& limits);
 
-  /// From now on each answer ends its connection.
+  /// From now on every connection is closed after its next response.
   void CloseAfterAnswers();
 
-  /// Open connections, busy or kept.
+  /// Number of open connections, busy or idle.
   size_t connections() const;
 
-  /// Of each caller that has not taken all of its answer.
+  /// One entry for each connection with unsent response bytes.
   std::vector<HeldAnswer> HeldAnswers(TimePoint now) const;
-  /// Bytes of requests that are read or under way.
+  /// Bytes buffered of requests being received or processed: bodies and
+  /// pipelined input.
   size_t RequestBytes() const;
-  /// Closes the connection; its caller counts as gone.
+  /// Closes the connection, which counts as a disconnect by the caller and in
+  /// unread_dropped(). No effect if it is no longer open.
   void Drop(uint64_t connection);
-  /// Callers that were let go since they did not read.
+  /// Number of connections closed because the caller did not read its response,
+  /// by `unread_timeout` or by Drop().
   uint64_t unread_dropped() const;
 
  private:
--- a/include/filbertrack/net_stream.h
+++ b/include/filbertrack/net_stream.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One TCP connection on the loop. Bytes that are written during one turn of
-/// the loop leave with one system call at its end.
+/// A TCP connection on the event loop. Bytes written during one iteration of
+/// the loop are sent together at its end, to save system calls.
 
 #include <functional>
 #include <memory>
@@ -15,27 +15,27 @@
 namespace filbertrack {
 
 enum class StreamEnd {
-  /// The peer ended its side in order; all it sent has been read.
+  /// The peer closed its side in an orderly way and all its bytes were read.
   kClosed,
-  /// The connection broke, or could not be opened.
+  /// The connection failed or could not be opened.
   kReset,
 };
 
 struct StreamEvents {
-  /// An outgoing connection is open. Optional.
+  /// An outgoing connection has been established. Optional.
   std::function<void()> on_connected;
   std::function<void(std::string_view bytes)> on_bytes;
-  /// The last event.
+  /// The connection has ended; no event follows.
   std::function<void(StreamEnd end)> on_end;
-  /// All bytes written so far were taken by the operating system. Optional.
+  /// The operating system has accepted all bytes written so far. Optional.
   std::function<void()> on_drained;
 };
 
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
-  /// Takes over an accepted socket.
+  /// Takes ownership of an accepted socket.
   static std::shared_ptr<TcpStream> Accepted(EventLoop& loop, int fd);
-  /// Starts to connect; failure is told through on_end from the loop.
+  /// Starts connecting. Failure is reported through on_end, from the loop.
   static std::shared_ptr<TcpStream> Connect(EventLoop& loop,
                                             const Address& address);
 
@@ -43,27 +43,30 @@
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  /// Starts reading, with these events from now on.
+  /// Sets the callbacks and starts reading, on an outgoing connection once it
+  /// is established.
   void Start(StreamEvents events);
 
+  /// Queues bytes for sending; ignored once the connection is closed.
   void Write(std::string_view bytes);
 
-  /// Stops or resumes the reading of bytes.
+  /// Pauses or resumes reading.
   void SetReading(bool reading);
 
-  /// Ends this side once the written bytes have left; reading goes on.
+  /// Closes the sending side once the queued bytes are sent; reading continues.
   void ShutDown();
 
-  /// Closes now; no event follows.
+  /// Closes immediately, without an event; queued bytes are not sent.
   void Close();
 
   bool is_open() const { return m_fd >= 0; }
+  /// Queued bytes that the operating system has not accepted.
   size_t unsent() const;
-  /// Bytes of Write() that the operating system took.
+  /// Bytes that the operating system has accepted.
   uint64_t sent() const { return m_sent; }
 
-  /// Silence of the peer's host, with data or keep-alive probes unanswered,
-  /// after which the connection counts as broken.
+  /// Time after which the connection fails if the peer's host acknowledges
+  /// neither data nor keep-alive probes.
   void SetDeadPeerTimeout(Duration timeout);
 
  private:
--- a/source/event_loop.cc
+++ b/source/event_loop.cc
@@ -16,8 +16,8 @@
           static_cast<suseconds_t>((duration % Seconds(1)).count())};
 }
 
-/// A loop with precise timers: by default libevent reads a coarse clock that
-/// moves once a kernel tick, and a timer of 1 ms takes up to 5 ms.
+/// Creates an event base with precise timers. By default libevent uses a coarse
+/// clock that advances once per kernel tick, so a 1 ms timer takes up to 5 ms.
 event_base* CreateEventBase() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -67,14 +67,14 @@
 }
 
 void Timer::OnFire(int, short, void* self) {
-  // The action may destroy this timer, so it runs from a copy.
+  // Runs a copy because the action may destroy this timer.
   const std::function<void()> action = static_cast<Timer*>(self)->m_action;
   action();
 }
 
 EventLoop::EventLoop() : m_base(CreateEventBase()) {
-  // A peer that closes its socket while we write must cost this process an
-  // error on that socket, not its life.
+  // Writing to a socket that the peer has closed must return an error instead
+  // of terminating the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/source/http_client.cc
+++ b/source/http_client.cc
@@ -11,13 +11,15 @@
 
 namespace {
 
-/// A kept connection is used for this part of the time that the server states.
-/// Closer to its end, the request could cross the server's close, and nobody
-/// would know whether it ran.
+/// Fraction of the server's keep-alive timeout for which an idle connection is
+/// reused. Later, the server could close the connection while the request is on
+/// its way, which leaves unknown whether it ran.
 constexpr double kKeepAliveFraction = 0.7;
-/// Where the server states no time. Most servers keep connections longer.
+/// Used if the server states no timeout. Most servers keep idle connections
+/// longer.
 constexpr Duration kDefaultKeepAliveTimeout = Seconds(4);
-/// Silence of the server's host after which a connection counts as broken.
+/// Time without an acknowledgement from the server's host after which a
+/// connection fails.
 constexpr Duration kDeadServerTimeout = Seconds(4);
 constexpr size_t kMaxResponseHeaderBytes = 64 * 1024;
 constexpr int kFirstFinalStatus = 200;
@@ -59,12 +61,12 @@
 
 }  // namespace
 
-/// A connection to a server, used by one call after the other.
+/// A connection to a server, used by one call at a time.
 struct ServerConnection {
   std::shared_ptr<TcpStream> stream;
   std::unique_ptr<HttpMessageParser> parser;
   TimePoint usable_until;
-  /// The call that the next answer belongs to; null while idle.
+  /// The call that receives the next response; null while idle.
   HttpCall::State* call = nullptr;
 };
 
@@ -74,8 +76,9 @@
   std::map<Address, std::deque<std::shared_ptr<ServerConnection>>> idle;
   uint64_t opened = 0;
 
-  /// Any byte or end on an idle connection makes it useless: an answer that
-  /// nobody asked for would be taken for the next request's.
+  /// Closes an idle connection that received bytes or was closed by the server.
+  /// An unsolicited response would otherwise be taken for that of the next
+  /// request.
   void Discard(const Address& address,
                const std::shared_ptr<ServerConnection>& connection) {
     connection->stream->Close();
@@ -98,7 +101,7 @@
     std::shared_ptr<ServerConnection> taken;
     auto& kept = found->second;
     while (!kept.empty() && taken == nullptr) {
-      // The one used last: the others grow old and are dropped.
+      // Most recently used first, so that surplus connections expire.
       taken = kept.back();
       kept.pop_back();
       if (taken->usable_until <= now || !taken->stream->is_open()) {
@@ -165,8 +168,8 @@
     connection->call = this;
     connection->stream = TcpStream::Connect(pool->loop, address);
     connection->stream->SetDeadPeerTimeout(kDeadServerTimeout);
-    // The connection outlives this call, so its callbacks find the call of the
-    // moment through it.
+    // The connection can outlive this call, so its callbacks look up the
+    // current call through it.
     const std::weak_ptr<ServerConnection> weak = connection;
     connection->parser = std::make_unique<HttpMessageParser>(
         HttpMessageKind::kResponse, kMaxResponseHeaderBytes,
@@ -199,6 +202,7 @@
     }
   }
 
+  /// Fails the call once `idle_timeout` passes without a byte from the server.
   void StartIdleTimer(Duration after) {
     timer = pool->loop.After(after, [this] {
       const Duration idle_time = MonotonicNow() - last_byte;
@@ -210,8 +214,8 @@
     });
   }
 
-  /// Drops the connection: the rest of an answer could otherwise reach the next
-  /// call.
+  /// Closes the connection instead of returning it to the pool: the rest of the
+  /// response could otherwise reach the next call.
   void Drop() {
     timer.reset();
     if (connection != nullptr) {
@@ -221,6 +225,7 @@
     }
   }
 
+  /// Closes the connection and reports the failure, once.
   void Fail() {
     const std::shared_ptr<State> keep = shared_from_this();
     if (connection == nullptr) {
@@ -236,7 +241,8 @@
     }
   }
 
-  /// The answer is whole: keeps the connection if another call may use it.
+  /// Completes the call and returns the connection to the pool if it is
+  /// reusable, which it is not after bytes beyond the end of the response.
   void Finish(bool trailing_bytes) {
     const std::shared_ptr<State> keep = shared_from_this();
     const TimePoint now = MonotonicNow();
@@ -275,8 +281,8 @@
     connection->call->SendRequest();
   }
 
-  /// The call that waits on the connection. Null: none does, and what came
-  /// makes the connection useless.
+  /// Returns the call that uses the connection. If there is none, discards the
+  /// connection, since an idle one must receive nothing, and returns null.
   static std::shared_ptr<State> CurrentCall(
       const std::shared_ptr<ServerConnection>& connection,
       const std::weak_ptr<HttpClient::Pool>& owner,
@@ -326,8 +332,8 @@
     if (call == nullptr) {
       return;
     }
-    // A body without length is whole only if its connection ended in order; one
-    // that was reset may lack its end.
+    // A body without a stated length is complete only if the connection was
+    // closed in an orderly way; after a reset its end may be missing.
     if (end == StreamEnd::kClosed && call->head.ends_with_connection) {
       connection->parser->PushEnd();
     }
@@ -353,7 +359,7 @@
     if (read.status < kFirstFinalStatus) {
       return has_body;
     }
-    // A copy: the callback may end the call, which clears the events.
+    // Calls a copy, as the callback may end the call, which clears `events`.
     const auto on_head = call->events.on_head;
     if (on_head) {
       on_head(read.status, read.headers);
@@ -378,7 +384,7 @@
     if (connection == nullptr || connection->call == nullptr) {
       return;
     }
-    // An interim answer is followed by the one that counts.
+    // An interim (1xx) response is followed by the final one.
     connection->call->complete =
         connection->call->head.status >= kFirstFinalStatus;
   }
--- a/source/http_message.cc
+++ b/source/http_message.cc
@@ -13,7 +13,7 @@
   size_t header_bytes = 0;
   bool value_started = false;
   bool at_start = true;
-  /// The head of this message has been told.
+  /// `on_head` has been called for the current message.
   bool head_complete = false;
 
   static State& FromParser(http_parser* parser) {
@@ -31,7 +31,8 @@
            (parser.flags & (F_CHUNKED | F_CONTENTLENGTH)) == 0;
   }
 
-  /// Nonzero stops the parser.
+  /// Adds to the size of the head. Returns nonzero, which stops the parser, if
+  /// it exceeds `max_header_bytes`.
   int AddHeaderBytes(size_t bytes) {
     header_bytes += bytes;
     if (!head_complete && header_bytes > max_header_bytes) {
@@ -60,7 +61,7 @@
   static int OnField(http_parser* parser, const char* at, size_t size) {
     State& state = FromParser(parser);
     if (state.head_complete) {
-      return 0;  // A trailer; nothing here reads them.
+      return 0;  // Trailer fields are ignored.
     }
     if (state.head.headers.empty() || state.value_started) {
       state.head.headers.emplace_back();
@@ -87,8 +88,8 @@
     state.head.status = static_cast<int>(parser->status_code);
     state.head.keep_alive = http_should_keep_alive(parser) != 0;
     state.head.ends_with_connection = EndsWithConnection(*parser);
-    // Nothing here speaks another protocol after an upgrade: the message is
-    // read like any other.
+    // Protocol upgrades are not supported: such a message is parsed like any
+    // other.
     parser->upgrade = 0;
     state.head_complete = true;
     return state.events.on_head(state.head) ? 0 : 1;
@@ -102,7 +103,8 @@
   static int OnComplete(http_parser* parser) {
     State& state = FromParser(parser);
     state.at_start = true;
-    // The next message on the connection waits until this one was dealt with.
+    // Stops before the next message on the connection, which is parsed only
+    // after the caller of Push() has handled this one.
     http_parser_pause(parser, 1);
     state.events.on_complete();
     return 0;
--- a/source/http_server.cc
+++ b/source/http_server.cc
@@ -33,16 +33,19 @@
     {HttpMethod::kDelete, "DELETE"},
 });
 
-/// Bytes that are kept of requests which a caller sends before the answer to
-/// the present one; beyond them its connection is read no further.
+/// Maximum bytes buffered of pipelined requests, which a caller sends before
+/// the response to the current one; beyond it, reading from the connection
+/// pauses.
 constexpr size_t kMaxPipelinedBytes = 64 * 1024;
-/// How often deadlines of idle connections are looked at.
+/// Interval between checks of the timeouts of all connections.
 constexpr Duration kSweepInterval = Milliseconds(250);
-/// A caller has this long to read the last answer and close its side. Closing
-/// first with its bytes unread would reset the connection under the answer.
+/// Time for the caller to read the last response and close its side. If this
+/// side closed first while received bytes are unread, the kernel would reset
+/// the connection and the caller could lose the response.
 constexpr Duration kLingerTimeout = Seconds(2);
 constexpr int kListenBacklog = 1024;
-/// Silence of a caller's host after which its connection counts as broken.
+/// Time without an acknowledgement from the caller's host after which its
+/// connection fails.
 constexpr Duration kDeadCallerTimeout = Seconds(10);
 
 constexpr int kBadRequest = 400;
@@ -85,7 +88,7 @@
   uint64_t unread_dropped = 0;
 };
 
-/// One caller's connection. Requests on it are dealt with one after the other.
+/// A caller's connection. Its requests are processed one at a time.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
   HttpConnection(std::shared_ptr<HttpServer::Shared> server,
@@ -113,7 +116,8 @@
 
   bool closes_after_answer() const { return m_server->close_after_answers; }
 
-  /// The present answer is written.
+  /// The current response was written. Continues with the next request, or
+  /// closes the connection unless `keep_open`.
   void AnswerEnded(bool keep_open) {
     m_exchange.reset();
     m_idle_since = MonotonicNow();
@@ -127,7 +131,8 @@
     }
   }
 
-  /// Closes after what was written has left.
+  /// Closes the sending side once the written bytes are sent, then discards
+  /// input until the caller closes its side or kLingerTimeout passes.
   void Linger() {
     m_lingering = true;
     m_idle_since = MonotonicNow();
@@ -136,10 +141,11 @@
     m_stream->ShutDown();
   }
 
-  /// Names the connection while it is open.
+  /// Identifies the connection while it is open.
   uint64_t id() const { return reinterpret_cast<uintptr_t>(this); }
 
-  /// How long the caller has taken nothing of what waits for it.
+  /// Time since a byte was last sent; 0 if none is waiting. Updated by
+  /// CheckTimeouts(), so exact to kSweepInterval.
   Duration UnreadFor(TimePoint now) const {
     return m_stream->unsent() == 0 || m_stream->sent() != m_last_sent
                ? Duration(0)
@@ -153,11 +159,13 @@
     return m_input.size() + body(m_incoming) + body(m_exchange);
   }
 
+  /// Closes the connection because the caller does not read its response.
   void DropSlowReader() {
     ++m_server->unread_dropped;
     OnDisconnected();
   }
 
+  /// Applies the timeouts of HttpServerLimits; called every kSweepInterval.
   void CheckTimeouts(TimePoint now) {
     if (m_stream->unsent() == 0 || m_stream->sent() != m_last_sent) {
       m_last_sent = m_stream->sent();
@@ -274,8 +282,8 @@
     m_server->handler(m_exchange);
   }
 
-  /// A request that cannot be read: the answer ends the connection, since
-  /// nobody knows where the next request would begin.
+  /// Rejects a malformed, oversized or late request and closes the connection,
+  /// since the start of the next request is unknown.
   void Refuse(int status) {
     m_stream->Write("HTTP/1.1 " + std::to_string(status) +
                     " Refused\r\nConnection: close\r\nContent-Length: "
@@ -297,16 +305,19 @@
   std::shared_ptr<HttpServer::Shared> m_server;
   std::shared_ptr<TcpStream> m_stream;
   HttpMessageParser m_parser;
-  /// The request whose bytes are being read, and the one being answered.
+  /// The request being received, and the one being processed.
   std::shared_ptr<HttpExchange> m_incoming;
   std::shared_ptr<HttpExchange> m_exchange;
   std::string m_input;
   bool m_complete = false;
   bool m_lingering = false;
-  /// Bytes that the caller had taken when that last changed, and when.
+  /// Bytes sent, and the time, when progress was last seen or nothing was
+  /// waiting to be sent.
   uint64_t m_last_sent = 0;
   TimePoint m_last_progress = MonotonicNow();
-  /// Since when the connection waits for the caller.
+  /// Start of the idle, header and linger timeouts: the accept, the first byte
+  /// of the current request, the end of the last response or the start of
+  /// lingering.
   TimePoint m_idle_since;
 };
 
@@ -479,9 +490,10 @@
         kListenBacklog, reinterpret_cast<const sockaddr*>(&at), sizeof(at));
   }
   if (listener == nullptr) {
-    return Fail(ResultCode::kSettingsInvalid,
-                "cannot listen on " + address.ToString() +
-                    "; the address must be this host's and free.");
+    return Fail(
+        ResultCode::kSettingsInvalid,
+        "cannot listen on " + address.ToString() +
+            "; the address must belong to this host and not be in use.");
   }
   m_listeners.push_back(listener);
   if (m_sweep_timer == nullptr) {
@@ -554,7 +566,8 @@
 
 void HttpServer::Sweep() {
   const TimePoint now = MonotonicNow();
-  // A copy: a connection that times out leaves the set.
+  // Iterates over a copy, as a connection that times out is removed from the
+  // set.
   const auto connections = m_shared->connections;
   for (const auto& connection : connections) {
     connection->CheckTimeouts(now);
--- a/source/net_stream.cc
+++ b/source/net_stream.cc
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// Read in one system call; the events of one step of an engine fit in.
+/// Bytes read per system call; enough for the events of one engine step.
 constexpr size_t kReadBytes = 16 * 1024;
 
 void SetOption(int fd, int level, int option, int value) {
-  // Options tune; a socket without one still works.
+  // Failure is ignored: the options only tune the socket.
   (void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
@@ -98,7 +98,7 @@
   const bool idle = evbuffer_get_length(m_output) == 0;
   evbuffer_add(m_output, bytes.data(), bytes.size());
   if (idle && !m_connecting) {
-    // Runs at the end of this turn, with all that is written until then.
+    // Flushes at the end of this loop iteration, together with later writes.
     event_active(m_write_event, EV_WRITE, 0);
   }
 }
--- a/tests/clock_test.cc
+++ b/tests/clock_test.cc
@@ -7,16 +7,16 @@
 
 #include "filbertrack/event_loop.h"
 
-/// A suspension of the host, played by moving the clock that counts it.
+/// Simulates a suspension of the host by advancing CLOCK_BOOTTIME.
 
 namespace {
 
-/// How long the host has been suspended, in seconds.
+/// Simulated time of suspension, in seconds.
 time_t g_suspended_seconds = 0;
 
 }  // namespace
 
-// Stands in for the C library's function in this program.
+// Replaces the C library's function in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
   const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
   if (result == 0 && clock == CLOCK_BOOTTIME) {
@@ -28,11 +28,11 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("a suspension of the host counts as time that passed") {
-  // A holder of the lease is suspended for ten seconds while another host takes
-  // the lease over. Were those seconds not counted, it would go on to give
-  // orders under the old lease when it wakes, and a host that obeys them could
-  // be in two groups.
+TEST_CASE("MonotonicNow() includes time during which the host was suspended") {
+  // Guards against a lease holder that acts on an expired lease: it is
+  // suspended for 10 s while another host acquires the lease. If the clock
+  // stood still, it would continue to issue orders after it resumes, and a host
+  // that follows them could become a member of two groups.
   const TimePoint before = MonotonicNow();
   g_suspended_seconds = 10;
   const Duration passed = MonotonicNow() - before;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -14,7 +14,7 @@
 namespace filbertrack {
 namespace {
 
-/// A caller that sends the bytes it is told to, and keeps what comes back.
+/// A client that sends raw bytes and records the bytes received.
 struct RawCaller {
   RawCaller(EventLoop& loop, const Address& address)
       : stream(TcpStream::Connect(loop, address)) {
@@ -29,7 +29,8 @@
   bool ended = false;
 };
 
-/// A server that answers every piece of input with given bytes.
+/// A server that calls `on_input` for each block of bytes received, with the
+/// index of the connection.
 struct RawServer {
   using OnInput =
       std::function<void(const std::shared_ptr<TcpStream>&, size_t connection)>;
@@ -70,7 +71,7 @@
   std::vector<std::shared_ptr<TcpStream>> streams;
 };
 
-/// What one call came to.
+/// The outcome of a call.
 struct CallResult {
   bool ended = false;
   bool failed = false;
@@ -114,10 +115,10 @@
   Address address;
 };
 
-TEST_CASE("two lengths that differ: no request is taken") {
-  // The caller sees 400 and a closed connection. A proxy before this host could
-  // read the first length and this host the second; the rest of the body would
-  // then be taken for a request that nobody sent.
+TEST_CASE("differing Content-Length fields are rejected") {
+  // Guards against request smuggling: if a proxy in front of this host used the
+  // first length and this host the second, the rest of the body would be parsed
+  // as another request. Expects status 400 and a closed connection.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write(
@@ -128,8 +129,9 @@
   CHECK(fixture.requests.empty());
 }
 
-TEST_CASE("a length beside chunks: no request is taken") {
-  // The caller sees 400, for the same reason as with two lengths.
+TEST_CASE("Content-Length with chunked encoding is rejected") {
+  // Guards against request smuggling, as with differing lengths; expects status
+  // 400.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write(
@@ -140,9 +142,9 @@
   CHECK(fixture.requests.empty());
 }
 
-TEST_CASE("requests sent before the first answer are answered in order") {
-  // The caller sees both answers, in the order of its requests, although the
-  // second request lay in the buffer while the first was answered.
+TEST_CASE("pipelined requests are answered in order") {
+  // The second request is buffered until the first has been answered, and must
+  // not be lost.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write(
@@ -159,8 +161,8 @@
   CHECK(caller.received.find("one") < caller.received.find("two"));
 }
 
-TEST_CASE("limits on head and body") {
-  // The caller sees 431 for a head and 413 for a body over the limit.
+TEST_CASE("limits on the size of head and body are enforced") {
+  // Expects status 431 for a head and 413 for a body over the limit.
   ServerFixture fixture;
   RawCaller head(fixture.loop, fixture.address);
   head.stream->Write("GET /a HTTP/1.1\r\nLong: " + std::string(2000, 'x') +
@@ -175,8 +177,8 @@
   CHECK(fixture.requests.empty());
 }
 
-TEST_CASE("an unknown method and a body in chunks arrive as they were sent") {
-  // The handler sees the method's own name and the joined body.
+TEST_CASE("an unlisted method and a chunked body reach the handler") {
+  // The handler gets the original method name and the reassembled body.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write(
@@ -187,8 +189,8 @@
   CHECK(fixture.requests[0]->body() == "abcde");
 }
 
-TEST_CASE("the handler learns that the caller left") {
-  // The caller closes before its answer; the work behind it can be cancelled.
+TEST_CASE("the handler is notified when the caller disconnects") {
+  // The notification allows the handler to cancel work for the request.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -201,9 +203,9 @@
   CHECK_FALSE(fixture.requests[0]->IsOpen());
 }
 
-TEST_CASE("a stream that is aborted lacks its last chunk") {
-  // The caller sees the first event and then the end of the connection, and can
-  // tell that the answer is not whole.
+TEST_CASE("an aborted stream has no final chunk") {
+  // The caller receives the bytes sent so far and then the end of the
+  // connection, and can detect that the response is incomplete.
   ServerFixture fixture;
   RawCaller caller(fixture.loop, fixture.address);
   caller.stream->Write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -216,7 +218,7 @@
   CHECK(caller.received.find("\r\n0\r\n") == std::string::npos);
 }
 
-TEST_CASE("a body without length that ends in order is whole") {
+TEST_CASE("a body without a length is complete at an orderly close") {
   EventLoop loop;
   RawServer server(loop, [](const auto& stream, size_t) {
     stream->Write("HTTP/1.1 200 OK\r\n\r\nall of it");
@@ -230,10 +232,9 @@
   CHECK(result.body == "all of it");
 }
 
-TEST_CASE(
-    "an answer that breaks off in its body is a failure that may have run") {
-  // The server states ten bytes, sends three and goes away. The caller must not
-  // take the three for the answer, and must not be told that nothing ran.
+TEST_CASE("a response truncated in its body is a failure that may have run") {
+  // The server announces 10 bytes, sends 3 and closes. The client must neither
+  // accept the 3 bytes as the response nor report that the request did not run.
   EventLoop loop;
   RawServer server(loop, [](const auto& stream, size_t) {
     stream->Write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
@@ -248,7 +249,7 @@
 }
 
 TEST_CASE("a refused connection is a failure that did not run") {
-  // Nothing listens at the address: no byte can have left.
+  // Nothing listens at the address, so no byte can have been sent.
   EventLoop loop;
   Address unused_address;
   {
@@ -263,9 +264,9 @@
   CHECK_FALSE(result.may_have_left);
 }
 
-TEST_CASE("bytes after a whole answer never reach the next call") {
-  // The first call's answer is followed by a second one that nobody asked for.
-  // The second call must get its own answer, on a connection of its own.
+TEST_CASE("bytes after a complete response do not reach the next call") {
+  // The first response is followed by an unsolicited one. The second call must
+  // receive its own response, on a new connection.
   EventLoop loop;
   RawServer server(loop, [](const auto& stream, size_t connection) {
     const std::string body = connection == 0 ? "first" : "second";
@@ -289,7 +290,7 @@
   CHECK(client.connections_opened() == 2);
 }
 
-TEST_CASE("a kept connection is used again") {
+TEST_CASE("an idle connection is reused") {
   EventLoop loop;
   RawServer server(loop, [](const auto& stream, size_t) {
     stream->Write(
@@ -306,9 +307,9 @@
   CHECK(client.connections_opened() == 1);
 }
 
-TEST_CASE("no more idle connections are kept than the call allows") {
-  // The server's connections are shared by many hosts; one that lies idle here
-  // is one that a request elsewhere does not get.
+TEST_CASE("a call's limit on idle connections is enforced") {
+  // Many hosts share the server's connections: an idle one held here is not
+  // available to requests of other hosts.
   EventLoop loop;
   RawServer server(loop, [](const auto& stream, size_t) {
     stream->Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -328,8 +329,8 @@
   CHECK(RunUntil(loop, [&] { return !server.streams[1]->is_open(); }));
 }
 
-TEST_CASE("a call that is dropped closes its connection") {
-  // The server sees the end: it can stop work that nobody waits for.
+TEST_CASE("destroying a call closes its connection") {
+  // This lets the server stop work whose result is no longer needed.
   EventLoop loop;
   bool request_received = false;
   RawServer server(loop, [&request_received](const auto&, size_t) {
