--- a/include/filbertrack/base_address.h
+++ b/include/filbertrack/base_address.h
@@ -14,7 +14,7 @@
 
   std::string ToString() const { return host + ":" + std::to_string(port); }
 
-  // Written out because a translation unit in C++17 reads this header.
+  // Not defaulted: this header is also included from a C++17 translation unit.
   bool operator==(const Address& other) const {
     return port == other.port && host == other.host;
   }
--- a/include/filbertrack/base_cbor.h
+++ b/include/filbertrack/base_cbor.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// CBOR to and from JSON values.
+/// Conversion between CBOR and JSON values.
 
 #include <optional>
 #include <string>
@@ -12,7 +12,8 @@
 
 std::string ToCbor(const nlohmann::json& value);
 
-/// Nullopt for bytes that are not one whole CBOR item, whatever they are.
+/// Returns nullopt unless `bytes` is exactly one complete CBOR item. Never
+/// throws, so input from a peer needs no prior check.
 std::optional<nlohmann::json> ParseCbor(std::string_view bytes);
 
 }  // namespace filbertrack
--- a/include/filbertrack/base_compress.h
+++ b/include/filbertrack/base_compress.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Compression of texts that pass between hosts, by zlib.
+/// zlib compression of texts exchanged between hosts.
 
 #include <optional>
 #include <string>
@@ -10,7 +10,8 @@
 
 std::string Compress(std::string_view text);
 
-/// Nullopt for bytes that are not compressed text, or text over `max_bytes`.
+/// Returns nullopt if `bytes` is not a complete zlib stream or expands to more
+/// than `max_bytes` bytes.
 std::optional<std::string> Decompress(std::string_view bytes, size_t max_bytes);
 
 }  // namespace filbertrack
--- a/include/filbertrack/base_held_answer.h
+++ b/include/filbertrack/base_held_answer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Bytes of an answer that wait for one caller.
+/// The unsent part of a response to a caller that reads slowly.
 
 #include <cstddef>
 #include <cstdint>
@@ -10,10 +10,11 @@
 namespace filbertrack {
 
 struct HeldAnswer {
-  /// Names the caller's connection.
+  /// Identifies the caller's connection, as HttpServer::Drop() takes it.
   uint64_t connection = 0;
+  /// Bytes written by the server and not yet accepted by the operating system.
   size_t bytes = 0;
-  /// No byte was taken for so long.
+  /// Time since the operating system last accepted a byte for this connection.
   Duration unread{0};
 };
 
--- a/include/filbertrack/base_result.h
+++ b/include/filbertrack/base_result.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Numbered result codes, the error type and what is known of a request that
-/// was refused. docs/RESULT_CODES.md is tested against ResultCodeTable().
+/// Numbered result codes, the error type, and whether a rejected request ran.
+/// tests/base_test.cc checks docs/RESULT_CODES.md against ResultCodeTable().
 
 #include <span>
 #include <string>
@@ -11,8 +11,8 @@
 
 namespace filbertrack {
 
-/// Every way an operation of filbertrack can end. The number is stable: it
-/// stands in response bodies, in logs and, below 100, as an exit code.
+/// The result of an operation. The numbers are stable: they appear in response
+/// bodies and logs and, below 100, as exit codes.
 enum class ResultCode : int {
   kOk = 0,
   kInternal = 1,
@@ -52,22 +52,22 @@
 struct ResultCodeRow {
   ResultCode code;
   std::string_view name;
-  int http_status;  ///< 0 where the code never answers a caller.
+  int http_status;  ///< 0 if the code is never sent to a caller.
   std::string_view meaning;
 };
 
 std::span<const ResultCodeRow> ResultCodeTable();
 const ResultCodeRow& ResultCodeInfo(ResultCode code);
 
-/// What is known of a refused request. `kNotRun` is a proof, never a guess: no
-/// byte that could start the work left this host, or the backend server said
-/// that it did not start it.
+/// Whether a rejected request ran. `kNotRun` is reported only if that is
+/// certain: no byte that could start the work left this host, or the backend
+/// server reported that it did not start it.
 enum class Outcome { kNotRun, kUnknown, kRan };
 
 std::string_view OutcomeName(Outcome outcome);
 
-/// An error a caller or operator can act on: `message` is a sentence that
-/// quotes the offending value and says what is allowed.
+/// An error for a caller or operator. `message` is a sentence that quotes the
+/// invalid value and states what is allowed.
 struct Error {
   ResultCode code = ResultCode::kInternal;
   std::string message;
--- a/include/filbertrack/base_time.h
+++ b/include/filbertrack/base_time.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Time types. A decision never reads a clock: the present time is one of its
-/// arguments, taken by the event loop's adapter from the monotonic clock.
+/// Time types. Decision code does not read a clock: it takes the current time
+/// as an argument, which the event loop's adapters read with MonotonicNow().
 
 #include <chrono>
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 using Duration = std::chrono::microseconds;
 
-/// A reading of this process's monotonic clock, suspensions of the host
-/// included. It means nothing in another process: only durations (ages) travel
-/// between processes.
+/// A time on this process's monotonic clock, which includes time during which
+/// the host was suspended. Meaningless in other processes: messages between
+/// processes carry durations (ages) instead.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 constexpr Duration Milliseconds(int64_t count) {
--- a/include/filbertrack/base_token_bucket.h
+++ b/include/filbertrack/base_token_bucket.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A token bucket, refilled by the time it is given.
+/// A token bucket that refills by the time passed to its functions.
 
 #include "filbertrack/base_time.h"
 
@@ -8,17 +8,19 @@
 
 class TokenBucket {
  public:
-  /// Starts full. `burst` is at least one token.
+  /// Starts full, with `burst` tokens; a `burst` below 1 counts as 1.
   TokenBucket(double per_second, double burst, TimePoint now);
 
-  /// Starts without a token.
+  /// A bucket that starts with no tokens.
   static TokenBucket Empty(double per_second, double burst, TimePoint now);
 
+  /// Keeps the tokens accumulated so far, up to the new `burst`.
   void SetRate(double per_second, double burst, TimePoint now);
 
+  /// Takes one token; returns false, and takes none, if less than one is left.
   bool TryTake(TimePoint now);
 
-  /// How long until a token is there.
+  /// Time until a token is available, capped at 60 s.
   Duration UntilNext(TimePoint now) const;
 
   double per_second() const { return m_per_second; }
--- a/include/filbertrack/log_buffer.h
+++ b/include/filbertrack/log_buffer.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Lines on their way to a file descriptor that may be slow, full or closed.
+/// Buffering and rate limiting of log lines, written to a file descriptor that
+/// may be slow, full or closed.
 
 #include <cstdint>
 #include <map>
@@ -11,8 +12,8 @@
 
 namespace filbertrack {
 
-/// Lines of one kind a second, and in a burst. A request writes one line: this
-/// is ten times what an entry host serves, and a flood stops here.
+/// Rate limit per kind of line. Each request writes one line; the limit is ten
+/// times the request rate of an entry host and stops floods only.
 struct LogRate {
   double lines_per_second = 300;
   double burst = 600;
@@ -22,11 +23,13 @@
  public:
   LogBuffer(int fd, size_t max_bytes) : m_fd(fd), m_max_bytes(max_bytes) {}
 
-  /// False where the line was dropped: the buffer is full.
+  /// Returns false, and counts the line as dropped, if the buffer is full or
+  /// the descriptor is closed.
   bool Add(std::string_view line);
 
-  /// Writes what the descriptor takes without blocking. A closed one takes
-  /// nothing ever again; its lines are dropped.
+  /// Writes as much as the descriptor accepts without blocking. Once writing
+  /// fails, as on a pipe without a reader, the buffer is discarded and all
+  /// later lines are dropped.
   void Flush();
 
   bool empty() const { return m_text.empty(); }
@@ -40,14 +43,15 @@
   bool m_closed = false;
 };
 
-/// Which lines may be written, by kind.
+/// Token-bucket rate limiter with one bucket per kind of line.
 class LogLimiter {
  public:
   explicit LogLimiter(LogRate rate) : m_rate(rate) {}
 
+  /// Returns false, and counts the line as dropped, if `kind` is over its rate.
   bool Allow(std::string_view kind, TimePoint now);
 
-  /// Lines of all kinds that were not allowed since the last call.
+  /// Number of lines of all kinds dropped since the last call.
   uint64_t TakeDropped();
 
  private:
--- a/include/filbertrack/metrics.h
+++ b/include/filbertrack/metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Counters, gauges and latency histograms (Boost.Histogram) of one process,
-/// written in the usual text format.
+/// Counters, gauges and latency histograms (Boost.Histogram) of a process, in
+/// the Prometheus text format.
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,8 @@
 
 namespace filbertrack {
 
-/// Times from 50 µs to 100 s on a logarithmic axis.
+/// Histogram of durations from 50 µs to 100 s on a logarithmic axis. Values
+/// outside the range are counted in the underflow or overflow bin.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -24,10 +25,13 @@
   uint64_t count() const { return m_count; }
   Duration sum() const { return m_sum; }
 
-  /// Upper edge of the bin that holds the quantile, from 0 to 1.
+  /// Upper edge of the bin that contains the quantile; `quantile` is from 0
+  /// to 1. Returns 0 if nothing was recorded and 100 s if it lies in the
+  /// overflow bin.
   Duration Quantile(double quantile) const;
 
-  /// Calls `row` with each bin's upper edge and the count up to it.
+  /// Calls `row` with the upper edge of each bin, in seconds, and the
+  /// cumulative count up to it.
   template <typename Row>
   void ForEachBin(Row row) const;
 
@@ -41,13 +45,14 @@
 
 class Metrics {
  public:
-  /// `labels` is written between braces as it is, such as `code="105"`. The
-  /// reference stays valid.
+  /// `labels` is written verbatim between braces, for example `code="105"`. The
+  /// returned reference remains valid for the lifetime of this object.
   uint64_t& Counter(std::string_view name, std::string_view labels = "");
   double& Gauge(std::string_view name, std::string_view labels = "");
   LatencyHistogram& Latency(std::string_view name,
                             std::string_view labels = "");
 
+  /// All metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
--- a/include/filbertrack/settings.h
+++ b/include/filbertrack/settings.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// INI settings with declared keys. A file is checked whole before a process
-/// starts: an unknown section or key, a wrong type or a value out of range is
-/// an error that names the file, the section, the key, the value and what is
-/// allowed.
+/// INI settings with a schema. The whole file is validated before a process
+/// starts. An unknown section or key, a wrong type or a value out of range is
+/// an error that names the file, the section, the key, the value and the
+/// allowed values.
 
 #include <cstdint>
 #include <map>
@@ -18,6 +18,7 @@
 
 namespace filbertrack {
 
+/// Parses "IPv4:port"; fails with kSettingsInvalid.
 Result<Address> ParseAddress(std::string_view text);
 
 struct IntegerKey {
@@ -25,13 +26,13 @@
   int64_t min_value;
   int64_t max_value;
 };
-/// May have a fraction.
+/// A number that may have a fraction.
 struct NumberKey {
   double default_value;
   double min_value;
   double max_value;
 };
-/// Written with a unit: 250ms, 4s, 1.5s, 10m.
+/// A duration with a unit, for example 250ms, 4s, 1.5s or 10m.
 struct DurationKey {
   Duration default_value;
   Duration min_value;
@@ -40,13 +41,13 @@
 struct TextKey {
   std::string default_value;
   bool required = false;
-  std::vector<std::string> allowed;  ///< Empty: any text.
+  std::vector<std::string> allowed;  ///< Any text if empty.
   size_t min_bytes = 0;
 };
 struct AddressKey {
-  std::string default_value;  ///< Empty: the key is required.
+  std::string default_value;  ///< The key is required if empty.
 };
-/// Addresses separated by commas; may be empty.
+/// Comma-separated addresses; may be empty, which is the default.
 struct AddressListKey {};
 
 using KeyType = std::variant<IntegerKey,
@@ -56,7 +57,7 @@
                              AddressKey,
                              AddressListKey>;
 
-/// One declared key.
+/// A key that a program accepts.
 struct SettingsKey {
   std::string section;
   std::string key;
@@ -64,8 +65,8 @@
   std::string meaning;
 };
 
-/// Values of one checked file. Reading a key that the schema does not declare
-/// is a fault of the program and ends it.
+/// The values of a validated file. Reading a key that the schema does not
+/// declare, or as another type, is a programming error and ends the process.
 class Settings {
  public:
   using Value = std::
@@ -89,17 +90,19 @@
   std::map<std::string, Value, std::less<>> m_values;
 };
 
-/// The declared keys of one program.
+/// The keys that a program accepts.
 class SettingsSchema {
  public:
   explicit SettingsSchema(std::vector<SettingsKey> rows)
       : m_rows(std::move(rows)) {}
 
+  /// Reads and validates a file; fails with kSettingsInvalid.
   Result<Settings> ReadFile(const std::string& path) const;
+  /// Validates `text`; `origin` names it in errors.
   Result<Settings> ParseText(const std::string& text,
                              const std::string& origin) const;
 
-  /// A reference of every key, one a line, for --help-settings.
+  /// A reference of all keys, one per line, for --help-settings.
   std::string Describe() const;
 
  private:
--- a/source/base_cbor.cc
+++ b/source/base_cbor.cc
@@ -8,8 +8,9 @@
 }
 
 std::optional<nlohmann::json> ParseCbor(std::string_view bytes) {
-  // The library throws for a size that cannot be, even where it was asked not
-  // to throw; a peer's broken message would end the process.
+  // from_cbor() throws on an impossible size even with `allow_exceptions`
+  // false. Uncaught, a malformed message from a peer would terminate the
+  // process.
   try {
     return nlohmann::json::from_cbor(bytes);
   } catch (const nlohmann::json::exception&) {
--- a/source/base_compress.cc
+++ b/source/base_compress.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A configuration compresses to a tenth already at the quickest level.
+/// The fastest zlib level; it already compresses a configuration to a tenth.
 constexpr int kCompressionLevel = 1;
 
 }  // namespace
--- a/source/log.cc
+++ b/source/log.cc
@@ -24,10 +24,11 @@
 
 BOOST_LOG_ATTRIBUTE_KEYWORD(severity, "Severity", LogLevel)
 
-/// Bytes of lines that wait for standard output: some seconds of a busy host.
+/// Maximum bytes buffered for standard output: a few seconds of log lines of a
+/// busy host.
 constexpr size_t kMaxBufferedBytes = 512 * 1024;
 
-/// Hands what Boost.Log formats to the buffer, a line at a time.
+/// Passes each line that Boost.Log formats to a LogBuffer.
 class LogBufferStream : public std::stringbuf {
  public:
   explicit LogBufferStream(LogBuffer& buffer) : m_buffer(buffer) {}
--- a/source/log_buffer.cc
+++ b/source/log_buffer.cc
@@ -23,11 +23,12 @@
   while (flushed < m_text.size()) {
     pollfd ready{m_fd, POLLOUT, 0};
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
-      // POLLERR alone: nobody reads any more.
+      // POLLERR without POLLOUT: the reader has closed the pipe.
       m_closed = (ready.revents & (POLLERR | POLLNVAL)) != 0;
       break;
     }
-    // A pipe that is ready takes this much whole; more could block.
+    // A pipe that polls writable accepts PIPE_BUF bytes without blocking; a
+    // larger write could block.
     const size_t size = std::min<size_t>(m_text.size() - flushed, PIPE_BUF);
     const ssize_t written = write(m_fd, m_text.data() + flushed, size);
     if (written <= 0) {
--- a/source/metrics.cc
+++ b/source/metrics.cc
@@ -11,7 +11,7 @@
 namespace histogram = boost::histogram;
 
 constexpr unsigned kBins = 520;
-/// The text page writes every so many edges.
+/// Bins that are combined into one bucket of the text format.
 constexpr int kBinsPerBucket = 20;
 constexpr double kMinSeconds = 50e-6;
 constexpr double kMaxSeconds = 100;
--- a/source/settings.cc
+++ b/source/settings.cc
@@ -35,8 +35,8 @@
     {"h", Seconds(3600)},
 });
 
-/// Reads the text with Boost.PropertyTree. (inih, which was used first, cuts
-/// lines at 200 bytes, so that a list of twelve addresses broke in the middle.)
+/// Parses INI text with Boost.PropertyTree. inih is not suitable: it splits
+/// lines at 200 bytes, which breaks a list of twelve addresses.
 Result<std::vector<IniEntry>> ReadIni(const std::string& text,
                                       const std::string& origin) {
   boost::property_tree::ptree tree;
@@ -46,7 +46,7 @@
   } catch (const boost::property_tree::ini_parser_error& error) {
     return Fail(ResultCode::kSettingsInvalid,
                 "Line " + std::to_string(error.line()) + " of '" + origin +
-                    "' cannot be read: " + error.message() + ".");
+                    "' is not valid INI: " + error.message() + ".");
   }
   std::vector<IniEntry> entries;
   for (const auto& [section, keys] : tree) {
@@ -75,7 +75,7 @@
 bool ParseDuration(std::string_view text, Duration* value) {
   const size_t digits = text.find_first_not_of("0123456789.");
   double count = 0;
-  // More than nine digits of hours would pass the range of microseconds.
+  // Below 1e9, a count of hours still fits into int64_t microseconds.
   if (digits == std::string_view::npos ||
       !ParseNumber(text.substr(0, digits), &count) || count >= 1e9) {
     return false;
@@ -118,7 +118,7 @@
   return text.str();
 }
 
-/// Says what a key accepts, in words for errors and help.
+/// Describes the values that a key accepts, for errors and --help-settings.
 struct AllowedText {
   std::string operator()(const IntegerKey& type) const {
     return "an integer from " + std::to_string(type.min_value) + " to " +
@@ -154,7 +154,8 @@
   }
 };
 
-/// Turns the text of a value into its type; false where it is not allowed.
+/// Converts text to a value of the key's type. Returns false if the text is
+/// malformed or the value is not allowed.
 struct ValueReader {
   const std::string& text;
   Settings::Value* value;
@@ -216,7 +217,7 @@
   }
 };
 
-/// The value of a key that the file does not name; false where it must be.
+/// Provides the default value of a key. Returns false if the key is required.
 struct DefaultValueReader {
   Settings::Value* value;
 
@@ -246,6 +247,7 @@
   }
 };
 
+/// Formats the default value of a key for --help-settings.
 struct DefaultValueText {
   std::string operator()(const IntegerKey& type) const {
     return std::to_string(type.default_value);
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -13,7 +13,7 @@
 namespace filbertrack {
 namespace {
 
-TEST_CASE("docs/RESULT_CODES.md says what the program's table says") {
+TEST_CASE("docs/RESULT_CODES.md matches ResultCodeTable()") {
   std::ifstream stream(FILBERTRACK_SOURCE_DIR "/docs/RESULT_CODES.md");
   REQUIRE(stream);
   std::stringstream text;
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("hashes are the published ones") {
+TEST_CASE("hashes match published test vectors") {
   CHECK(Sha256Hex("abc") ==
         "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   CHECK(HmacSha256("key", "").size() == 32);
@@ -39,13 +39,13 @@
   CHECK(RandomId() != RandomId());
 }
 
-TEST_CASE("broken CBOR is nothing, not an end of the process") {
+TEST_CASE("malformed CBOR gives nullopt and does not terminate the process") {
   CHECK(ParseCbor(ToCbor({1, "two"})).value() == nlohmann::json({1, "two"}));
   CHECK(!ParseCbor(""));
   CHECK(!ParseCbor("\x9b\x61\x62\x63\x64\x65\x66\x67\x69"));
 }
 
-TEST_CASE("texts come out of compression as they went in, bounded in size") {
+TEST_CASE("decompression restores the text and enforces its size limit") {
   REQUIRE(rc::check("any text", [](const std::string& text) {
     RC_ASSERT(Decompress(Compress(text), text.size()) == text);
   }));
--- a/tests/log_test.cc
+++ b/tests/log_test.cc
@@ -40,7 +40,7 @@
   std::array<int, 2> ends{};
 };
 
-TEST_CASE("lines are written whole and in order") {
+TEST_CASE("lines are written completely and in order") {
   Pipe pipe;
   LogBuffer buffer(pipe.ends[1], 1000);
   CHECK(buffer.Add("one"));
@@ -50,9 +50,9 @@
   CHECK(buffer.empty());
 }
 
-TEST_CASE("nobody reads standard output: lines are dropped, nothing waits") {
-  // The pipe fills up; each further line must cost the process a counter and
-  // not its time, or requests would stand still behind a slow reader.
+TEST_CASE("lines are dropped without blocking while the pipe is full") {
+  // A blocking write to a full pipe would stall all requests behind a slow log
+  // reader. Further lines must only increment a counter.
   Pipe pipe;
   LogBuffer buffer(pipe.ends[1], 100000);
   const std::string line(1000, 'x');
@@ -61,7 +61,7 @@
     buffer.Flush();
   }
   CHECK(buffer.dropped() > 0);
-  // Once somebody reads again, what is still in the buffer comes out.
+  // The buffered lines are written once the pipe is read again.
   const uint64_t dropped = buffer.dropped();
   while (!buffer.empty()) {
     REQUIRE_FALSE(pipe.Read().empty());
@@ -71,7 +71,7 @@
   CHECK(buffer.dropped() == dropped);
 }
 
-TEST_CASE("a closed pipe ends the lines and not the process") {
+TEST_CASE("a closed pipe drops lines and does not terminate the process") {
   Pipe pipe;
   LogBuffer buffer(pipe.ends[1], 1000);
   pipe.CloseReader();
@@ -83,7 +83,7 @@
   CHECK(buffer.dropped() == 1);
 }
 
-TEST_CASE("each kind of line has its rate, and what is dropped is counted") {
+TEST_CASE("each kind of line has a rate limit, and dropped lines are counted") {
   LogLimiter limiter({10, 20});
   int allowed = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -18,7 +18,7 @@
   });
 }
 
-TEST_CASE("a file's values and the defaults of the others") {
+TEST_CASE("values from the file and defaults for the other keys") {
   const auto settings =
       Schema().ParseText("[a]\nname = n\nwait = 250ms\n", "f.ini");
   REQUIRE(settings);
@@ -27,9 +27,10 @@
   CHECK(settings->At("a", "listen").port == 1);
 }
 
-TEST_CASE("a list of many addresses is read whole") {
-  // An operator's command refused its settings with twelve entry hosts: the
-  // reader cut lines at 200 bytes.
+TEST_CASE("a long list of addresses is read completely") {
+  // Guards against a parser with a line limit: one that split lines at 200
+  // bytes rejected the settings of an operator's command with twelve entry
+  // hosts.
   std::string text = "[a]\nname = n\nseeds = ";
   for (int i = 0; i < 400; ++i) {
     text += (i == 0 ? "" : ",") + std::string("127.0.0.1:") +
@@ -40,7 +41,7 @@
   CHECK(settings->Addresses("a", "seeds").size() == 400);
 }
 
-TEST_CASE("each fault names file, section, key, value and what is allowed") {
+TEST_CASE("each error names file, section, key, value and allowed values") {
   struct InvalidFile {
     const char* text;
     std::vector<std::string> expected;
@@ -82,7 +83,7 @@
   CHECK_FALSE(schema.ParseText("[a]\nwait = 1.2.3s\n", "f.ini"));
 }
 
-TEST_CASE("property: no text crashes the reading of settings") {
+TEST_CASE("property: no input crashes the settings parser") {
   REQUIRE(rc::check("ini", [] {
     const auto text = *rc::gen::container<std::string>(rc::gen::elementOf(
         std::string("[]a=countwaitlisten0123456789ms:.\n \xff;#")));
