--- a/include/filbertrack/explain_account.h
+++ b/include/filbertrack/explain_account.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Adds up, from the log lines of all entry hosts, what callers did not get on
-/// time, and to which decisions it goes back.
+/// Computes, from the log lines of all entry hosts, which requests were not
+/// answered on time, and attributes each loss to a cause.
 ///
-/// A request that was not answered on time is lost; an answer that comes late
-/// is still worth a part of it. A caller that was refused and comes back counts
-/// as another request: nothing that it sends tells the two apart, since callers
-/// of one route name different times.
+/// A request without an answer counts as one lost request, a late answer as a
+/// fraction of one. A retry after a refusal counts as a new request: no header
+/// links it to the refused one, and deadlines do not either, since callers of
+/// one route send different deadlines.
 
 #include <cstdint>
 #include <map>
@@ -20,36 +20,40 @@
 namespace filbertrack {
 
 struct LossReportPolicy {
-  /// What a late answer keeps of an answer on time: between 0 and 1. Users'
-  /// sheets give a quarter for streams.
+  /// Value of a late answer relative to an answer on time, between 0 and 1.
+  /// The users' requirements value a late stream at a quarter.
   double late_share = 0.25;
-  /// Length of a row in time, in milliseconds.
+  /// Length of the time window that a row covers, in milliseconds.
   int64_t window_ms = 2000;
 };
 
-/// Loss of one cause at one route in one window.
+/// Loss by one cause on one route in one time window.
 struct LossRow {
   std::string cause;
-  /// Empty where the request was refused before its route was known.
+  /// Empty if the request was refused before it was matched to a route.
   std::string route;
   std::string model;
-  /// Start of the window, in milliseconds since the first request.
+  /// Start of the window, in milliseconds after the earliest final log line of
+  /// any request.
   int64_t window_start_ms = 0;
   int requests = 0;
-  /// In requests.
+  /// Loss in requests; a late answer is a fraction of one.
   double lost = 0;
-  /// Means over the decisions that chose a target, or found none: age of the
-  /// other hosts' loads, and time to the first event that was predicted.
+  /// Mean age of the loads received from other entry hosts, in milliseconds,
+  /// over the first placement of each request, or over its refusal if it was
+  /// never placed. `predicted_ms` is the mean predicted time to the first event
+  /// at the same decisions.
   double loads_age_ms = 0;
   double predicted_ms = 0;
 };
 
 struct LossReport {
-  /// Requests of callers that had a right to ask.
+  /// All requests but those that were unauthorized, malformed, too large or for
+  /// an unknown path or resource.
   int total_requests = 0;
   int on_time = 0;
-  /// `asked` less `on_time`, less what late answers are worth: the sum of the
-  /// rows.
+  /// `total_requests` minus `on_time` minus the value of late answers; equals
+  /// the sum over `rows`.
   double lost = 0;
   std::vector<LossRow> rows;
 };
@@ -57,7 +61,7 @@
 LossReport AttributeLosses(std::span<const RequestLogLine> log_lines,
                            const LossReportPolicy& policy);
 
-/// The rows added up over what `Field` tells apart, the largest loss first.
+/// Aggregates the rows by `field`, sorted by loss in descending order.
 std::vector<LossRow> SumLosses(std::span<const LossRow> rows,
                                std::string LossRow::*field);
 
--- a/include/filbertrack/explain_request.h
+++ b/include/filbertrack/explain_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Tells from the log lines of several processes what happened to one request,
-/// and why.
+/// Explains, from the log lines of several processes, what happened to one
+/// request and why.
 
 #include <cstdint>
 #include <istream>
@@ -15,41 +15,47 @@
 
 namespace filbertrack {
 
-/// One line of a log.
+/// One parsed line of a structured log.
 struct RequestLogLine {
-  /// Wall clock of the host that wrote it, in milliseconds.
+  /// Wall-clock time of the host that wrote the line, in milliseconds.
   int64_t time_ms = 0;
-  /// Its monotonic clock in microseconds: orders the lines of one host.
+  /// Monotonic clock of that host, in microseconds; orders the lines of one
+  /// host.
   int64_t at_us = 0;
   std::string node;
   std::string event;
   nlohmann::json fields;
 };
 
-/// A field's text; empty where the line has none of that name.
+/// Returns the text of a field; empty if the line has no such field. Throws
+/// nlohmann::json::type_error if the field is not a string.
 std::string TextField(const RequestLogLine& line, const char* field);
-/// A field's whole number; nullopt where the line has none.
+/// Returns the value of a numeric field, truncated to an integer; nullopt if
+/// the line has no such field or it is not a number.
 std::optional<int64_t> NumberField(const RequestLogLine& line,
                                    const char* field);
 
-/// Reads log lines. What stands before a line's first brace, such as a time or
-/// a host's name that a collector put there, is passed over, and so is what is
-/// no line of ours.
+/// Reads log lines. Skips any text before a line's first brace, such as the
+/// time or host name that a log collector prepends, and ignores lines that are
+/// not a JSON object with a text field "event".
 std::vector<RequestLogLine> ReadRequestLog(std::istream& stream);
 
 struct Explanation {
-  /// Lines that name the request, by time. Clocks of hosts may differ.
+  /// Lines that name the request, in order of time. The order of lines from
+  /// different hosts is approximate, since their wall clocks may differ.
   std::vector<RequestLogLine> lines;
-  /// Lines about its targets, and about its entry host, around that time.
+  /// Lines about the targets and the entry host of the request, and about host
+  /// health and controller leases, from shortly before its first line until
+  /// shortly after its last.
   std::vector<RequestLogLine> context;
-  /// One or two sentences.
+  /// The cause in a few sentences.
   std::string cause;
 };
 
 Explanation ExplainRequest(std::span<const RequestLogLine> log_lines,
                            std::string_view request_id);
 
-/// A line in short: time, host, event and its fields.
+/// Formats a line for a terminal: time, host, event, then `field=value` pairs.
 std::string FormatRequestLogLine(const RequestLogLine& line);
 
 }  // namespace filbertrack
--- a/source/explain_account.cc
+++ b/source/explain_account.cc
@@ -10,14 +10,16 @@
 
 namespace {
 
-/// Loads that are told to be older than this were never heard.
+/// Cap on the logged age of other hosts' loads. Before the first loads arrive
+/// the age is counted from the clock's origin, which would distort the mean.
 constexpr int64_t kMaxLoadsAgeMs = 60'000;
 
 ResultCode Code(const RequestLogLine& line) {
   return static_cast<ResultCode>(NumberField(line, "code").value_or(0));
 }
 
-/// The caller had no right to what it asked for.
+/// Whether the request counts towards the report. Requests that are
+/// unauthorized or invalid are the caller's error and no loss.
 bool IsCounted(ResultCode code) {
   return code != ResultCode::kUnauthorized && code != ResultCode::kNotFound &&
          code != ResultCode::kBadRequest && code != ResultCode::kBodyTooLarge;
@@ -27,7 +29,8 @@
   return line.event == "request" || line.event == "refused";
 }
 
-/// Lines of one request beside its end.
+/// The first "placed" and "attempt-ended" lines of one request; null if the
+/// logs contain none.
 struct AttemptLines {
   const RequestLogLine* first_placed = nullptr;
   const RequestLogLine* first_failed = nullptr;
--- a/source/explain_request.cc
+++ b/source/explain_request.cc
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-/// A loss shows in the log of the host that gives orders up to this long after
-/// a request met it: the time to notice a silent host, and as much again.
+/// The lease holder may log the loss of a host this long after the loss
+/// affected a request: twice the time that it takes to detect a silent host.
 constexpr int64_t kContextAfterMs = 1500;
 constexpr int64_t kContextBeforeMs = 500;
 
@@ -48,7 +48,8 @@
   return found == lines.end() ? nullptr : &*found;
 }
 
-/// Builds the context and the cause from a request's lines.
+/// Derives the cause and the context of a request from its log lines and the
+/// lines of other processes around that time.
 class Explainer {
  public:
   Explainer(std::span<const RequestLogLine> log_lines,
@@ -79,12 +80,12 @@
   std::string DescribeCause() const {
     const RequestLogLine* end = FindEndLine();
     if (m_request_lines.empty()) {
-      return "No line names this request. It came to another host, its lines "
-             "were dropped (see 'lines-dropped'), or it was never read.";
+      return "No log line names this request. Another host received it, its "
+             "lines were dropped (see 'lines-dropped'), or it was never read.";
     }
     if (end == nullptr) {
-      return "The request has no line of its end: the process ended, or the "
-             "line was dropped.";
+      return "The final log line of the request is missing: the process "
+             "terminated, or the line was dropped.";
     }
     return ExplainCode(*end, static_cast<ResultCode>(Number(*end, "code"))) +
            DescribeTargets();
@@ -99,48 +100,49 @@
                TextField(end, "model") + "'." + DescribeServingGroups(end);
       case ResultCode::kOverloaded:
         return DescribeRefusal(end) +
-               ": the best target that was looked at would "
-               "have answered after " +
-               Milliseconds(Number(end, "predicted_ms")) + ", the aim is " +
+               ": the best candidate target was predicted to answer after " +
+               Milliseconds(Number(end, "predicted_ms")) +
+               ", the target latency is " +
                Milliseconds(Number(end, "aim_ms")) +
-               "; the caller was told to come back after " +
+               "; the caller was told to retry after " +
                Milliseconds(Number(end, "retry_after_ms")) + "." +
                DescribeServingGroups(end);
       case ResultCode::kServersBackingOff:
         return DescribeRefusal(end) +
-               ": every server that was left had asked for fewer requests or "
-               "none; the caller was told to come back after " +
+               ": every remaining server had asked for fewer requests or "
+               "none; the caller was told to retry after " +
                Milliseconds(Number(end, "retry_after_ms")) + "." +
                DescribeServingGroups(end);
       case ResultCode::kEvacuated:
         return DescribeRefusal(end) +
-               ": what could answer stands in data centres that the operator "
-               "has evacuated; `evacuations` lines tell since when.";
+               ": the servers that could answer are in data centres that the "
+               "operator has evacuated; the `evacuations` lines show since "
+               "when.";
       case ResultCode::kNoServerInRegions:
         return DescribeRefusal(end) +
-               ": no server stands in the regions that the route and the "
-               "workspace allow.";
+               ": no server is in a region that the route and the workspace "
+               "both allow.";
       case ResultCode::kAttemptRefused:
         return DescribeRefusal(end) + " after " +
                std::to_string(Number(end, "sends")) +
-               " sends: " + DescribeFailedAttempts() +
-               ", and no retry was left or allowed.";
+               " attempts: " + DescribeFailedAttempts() +
+               "; no further retry was left or allowed.";
       case ResultCode::kUpstreamFailed:
       case ResultCode::kStreamInterrupted:
-        return "Ended without a whole answer: " + DescribeFailedAttempts() +
-               "; it could not be sent or taken up once more.";
+        return "Ended without a complete answer: " + DescribeFailedAttempts() +
+               "; it could not be retried or resumed.";
       case ResultCode::kDeadlinePassed:
-        return "Its time passed after " +
+        return "Its deadline passed after " +
                Milliseconds(Number(end, "total_ms")) + ". " +
                DescribeFailedAttempts() + ".";
       case ResultCode::kCallerDisconnected:
-        return "The caller left after " +
+        return "The caller disconnected after " +
                Milliseconds(Number(end, "total_ms")) +
                "; the first event came after " +
                Milliseconds(Number(end, "first_ms")) + ".";
       case ResultCode::kRequestEndsServers:
         return DescribeRefusal(end) +
-               ": servers end while they run what it asks." +
+               ": servers terminated while executing copies of it." +
                DescribeServerEnds(TextField(end, "digest"));
       default:
         return std::string(ResultCodeInfo(code).meaning) +
@@ -149,27 +151,27 @@
     }
   }
 
-  /// What was known of the request when it was turned away. An attempt before
-  /// may have run.
+  /// Describes how the request failed, by its logged outcome. Only `not-run` is
+  /// called a refusal: otherwise the request may have been executed.
   static std::string DescribeRefusal(const RequestLogLine& end) {
     const std::string outcome = TextField(end, "outcome");
     return outcome == OutcomeName(Outcome::kNotRun)
                ? "Refused as not run"
-               : "Given up, outcome " +
-                     (outcome.empty() ? "not told" : outcome);
+               : "Failed, outcome " +
+                     (outcome.empty() ? "not logged" : outcome);
   }
 
   std::string ExplainAnswer(const RequestLogLine& end) const {
     const int64_t first = Number(end, "first_ms");
     const int64_t target_latency = Number(end, "aim_ms");
     if (Number(end, "sends") > 1) {
-      return "Answered by its send number " +
-             std::to_string(Number(end, "sends")) + ": " +
-             DescribeFailedAttempts() + ".";
+      return "Answered by attempt " + std::to_string(Number(end, "sends")) +
+             ": " + DescribeFailedAttempts() + ".";
     }
     if (target_latency == 0 || first <= target_latency) {
-      return "Answered in time, the first event after " + Milliseconds(first) +
-             ". If it was late, a pause between events was.";
+      return "Answered in time: the first event came after " +
+             Milliseconds(first) +
+             ". If it was late, the delay was a pause between later events.";
     }
     const RequestLogLine* placed = FindFirst(m_request_lines, "placed");
     if (placed == nullptr) {
@@ -182,7 +184,7 @@
            " requests at the target.";
   }
 
-  /// What became of the attempts that failed.
+  /// Lists the failed attempts in order: target, reason and duration of each.
   std::string DescribeFailedAttempts() const {
     std::string text;
     for (const RequestLogLine& line : m_request_lines) {
@@ -193,33 +195,36 @@
               ": " + TextField(line, "why") + " after " +
               Milliseconds(Number(line, "after_ms"));
     }
-    return text.empty() ? "no attempt failed before" : text;
+    return text.empty() ? "no attempt was logged as failed" : text;
   }
 
-  /// Which ends of servers were laid to copies of the request, and by whom.
+  /// Lists the server terminations attributed to requests with this digest: the
+  /// entry host that decided to block them, then each host that had sent a copy
+  /// to a server that terminated.
   std::string DescribeServerEnds(const std::string& digest) const {
     std::string text;
     for (const RequestLogLine& line : m_log_lines) {
       if (line.event == "request-marked" &&
           TextField(line, "digest") == digest &&
           TextField(line, "from") == "own") {
-        text += " " + line.node + " laid " +
-                std::to_string(Number(line, "ends")) + " ends to it: " +
+        text += " " + line.node + " attributed " +
+                std::to_string(Number(line, "ends")) +
+                " server terminations to it: " +
                 line.fields.value("servers", Json::array()).dump() + ".";
         break;
       }
     }
     for (const RequestLogLine& line : m_log_lines) {
       if (line.event == "server-ended" && NamesRequest(line, digest)) {
-        text += " " + line.node + " had a copy at " +
-                TextField(line, "server") + ", which ended (" +
+        text += " " + line.node + " had sent a copy to " +
+                TextField(line, "server") + ", which terminated (" +
                 TextField(line, "evidence") + ").";
       }
     }
     return text;
   }
 
-  /// Whether a line of a server's end names a copy of the request.
+  /// Whether a "server-ended" line lists a request with this digest.
   static bool NamesRequest(const RequestLogLine& line,
                            const std::string& digest) {
     const auto requests = line.fields.find("requests");
@@ -233,7 +238,8 @@
                        });
   }
 
-  /// What the host that gives orders found of the request's targets.
+  /// Describes what controllers logged about the request's targets around that
+  /// time: groups that were closed, and the health of hosts.
   std::string DescribeTargets() const {
     std::string text;
     for (const RequestLogLine& line : LinesAround()) {
@@ -246,14 +252,16 @@
         text += " The group of " + TextField(line, "head") + " was closed by " +
                 line.node + ": " + TextField(line, "why") + ".";
       } else if (is_health) {
-        text += " " + line.node + " found " + TextField(line, "host") + " " +
-                TextField(line, "health") + ".";
+        text += " " + line.node + " reported " + TextField(line, "host") +
+                " as " + TextField(line, "health") + ".";
       }
     }
     return text;
   }
 
-  /// How many groups served, as the holder of the lease last counted before.
+  /// Describes the latest "groups" line before the end of the request: how many
+  /// groups of each model the lease holder counted as serving. Empty if there
+  /// is none.
   std::string DescribeServingGroups(const RequestLogLine& end) const {
     const RequestLogLine* latest = nullptr;
     for (const RequestLogLine& line : m_log_lines) {
@@ -269,12 +277,14 @@
     return " " + Milliseconds(end.time_ms - latest->time_ms) + " before, " +
            latest->node + " counted groups serving " +
            fields.value("serving", Json::object()).dump() + ", not serving " +
-           fields.value("not_serving", Json::object()).dump() + ", hosts " +
-           std::to_string(Number(*latest, "loading")) + " loading and " +
-           std::to_string(Number(*latest, "quarantined")) + " held.";
+           fields.value("not_serving", Json::object()).dump() +
+           ", hosts: " + std::to_string(Number(*latest, "loading")) +
+           " loading and " + std::to_string(Number(*latest, "quarantined")) +
+           " quarantined.";
   }
 
-  /// All lines around the request's.
+  /// Returns the lines of all hosts from shortly before the first line of the
+  /// request until shortly after its last.
   std::vector<RequestLogLine> LinesAround() const {
     std::vector<RequestLogLine> around;
     const int64_t from = m_request_lines.front().time_ms - kContextBeforeMs;
--- a/source/main_filbertctl.cc
+++ b/source/main_filbertctl.cc
@@ -1,4 +1,4 @@
-/// filbertctl: the operator's command.
+/// filbertctl: the operator's command-line tool.
 
 #include <algorithm>
 #include <cstdio>
@@ -71,7 +71,7 @@
     std::cout << row << "\n";
   }
   if (result.changed.empty()) {
-    std::cout << "nothing differs\n";
+    std::cout << "no changes\n";
   } else {
     std::cout << verb << ": generation " << result.generation << "\n";
   }
@@ -298,7 +298,7 @@
     std::cout << FormatRequestLogLine(row) << "\n";
   }
   if (!explanation.context.empty()) {
-    std::cout << "around it:\n";
+    std::cout << "related lines:\n";
   }
   for (const RequestLogLine& row : explanation.context) {
     std::cout << "  " << FormatRequestLogLine(row) << "\n";
@@ -321,7 +321,7 @@
   }
 }
 
-/// The worst windows, each with its causes.
+/// Prints the `max_rows` windows with the largest losses, each by cause.
 void PrintWindows(const LossReport& account, size_t max_rows) {
   std::map<int64_t, std::vector<LossRow>> windows;
   std::vector<std::pair<double, int64_t>> order;
@@ -413,50 +413,64 @@
 }
 
 void DeclareCommands(CLI::App& app, CommandLine& line) {
-  app.add_option("-s,--settings", line.settings_path,
-                 "The INI settings file; all commands but explain and account "
-                 "need it.");
+  app.add_option(
+      "-s,--settings", line.settings_path,
+      "INI settings file; required by all commands except explain and "
+      "account.");
   app.add_flag("--json", line.json, "Print JSON lines.");
-  CLI::App* apply = app.add_subcommand("apply", "Apply a change as a whole.");
-  apply->add_option("-f,--file", line.file, "JSON file with the change.")
+  CLI::App* apply = app.add_subcommand("apply", "Apply a change atomically.");
+  apply
+      ->add_option("-f,--file", line.file,
+                   "JSON file that contains the change.")
       ->required();
-  apply->add_option("--reason", line.reason, "Why; shown by history.");
-  apply->add_flag("--dry-run", line.dry_run, "Only show what would differ.");
-  apply->add_flag("--wait", line.wait, "Wait until it is in force.");
-  apply->add_option("--seconds", line.wait_seconds, "Longest wait.");
+  apply->add_option("--reason", line.reason,
+                    "Reason for the change; shown by history.");
+  apply->add_flag("--dry-run", line.dry_run,
+                  "Show the differences without applying them.");
+  apply->add_flag("--wait", line.wait,
+                  "Wait until the change is in force on every entry host.");
+  apply->add_option("--seconds", line.wait_seconds,
+                    "Maximum wait, in seconds.");
   app.add_subcommand("get", "Print the declared resources.");
-  CLI::App* wait =
-      app.add_subcommand("wait", "Wait until a generation is in force.");
-  wait->add_option("generation", line.generation, "The generation.")
+  CLI::App* wait = app.add_subcommand(
+      "wait", "Wait until a generation is in force on every entry host.");
+  wait->add_option(
+          "generation", line.generation,
+          "Configuration generation to wait for; later ones count too.")
       ->required();
-  wait->add_option("--seconds", line.wait_seconds, "Longest wait.");
+  wait->add_option("--seconds", line.wait_seconds, "Maximum wait, in seconds.");
   CLI::App* history = app.add_subcommand("history", "List accepted changes.");
-  history->add_option("--most", line.max_rows, "So many, newest first.");
+  history->add_option("--most", line.max_rows,
+                      "Maximum number of changes, newest first.");
   CLI::App* status =
       app.add_subcommand("status", "Show domains, groups and entry hosts.");
-  status->add_flag("--explain", line.explain, "Show why groups changed.");
-  app.add_subcommand("audit", "Show changes by operators and by the fleet.");
+  status->add_flag("--explain", line.explain,
+                   "Also show the controllers' group decisions.");
+  app.add_subcommand(
+      "audit", "Show operators' changes and the controllers' group decisions.");
   CLI::App* explain = app.add_subcommand(
-      "explain", "Tell from log files what happened to a request, and why.");
-  explain->add_option("request", line.request, "The request's id.")->required();
+      "explain", "Explain from log files what happened to a request, and why.");
+  explain->add_option("request", line.request, "Request id.")->required();
   explain->add_option("files", line.logs, "Log files of the entry hosts.")
       ->required();
   CLI::App* account = app.add_subcommand(
-      "account", "Add up from log files what callers did not get on time.");
+      "account",
+      "Report from log files the requests not answered on time, by cause.");
   account->add_option("files", line.logs, "Log files of all entry hosts.")
       ->required();
   account
       ->add_option("--late", line.account.late_share,
-                   "What a late answer keeps of its worth.")
+                   "Value of a late answer as a fraction of one on time.")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
   account
       ->add_option("--window", line.window_seconds,
-                   "Length of a row in time, in seconds.")
+                   "Length of a time window, in seconds.")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
   account
-      ->add_option("--most", line.max_rows, "So many windows, the worst first.")
+      ->add_option("--most", line.max_rows,
+                   "Maximum number of windows, worst first.")
       ->capture_default_str();
   app.require_subcommand(1);
 }
@@ -465,7 +479,9 @@
 }  // namespace filbertrack
 
 int main(int argc, char** argv) {
-  CLI::App app("Changes and shows what filbertrack serves.", "filbertctl");
+  CLI::App app(
+      "Changes the configuration and shows the state of a filbertrack fleet.",
+      "filbertctl");
   filbertrack::CommandLine line;
   app.set_version_flag("--version", "filbertctl " FILBERTRACK_VERSION);
   filbertrack::DeclareCommands(app, line);
--- a/source/operator_client.cc
+++ b/source/operator_client.cc
@@ -23,8 +23,9 @@
                                     const Json& change,
                                     uint64_t generation) {
   if (!change.is_object()) {
-    return Fail(ResultCode::kResourceInvalid,
-                "The change must be an object from kind/name to fields.");
+    return Fail(
+        ResultCode::kResourceInvalid,
+        "The change must be a JSON object that maps kind/name to fields.");
   }
   const Json after = MergeResources(before, change);
   const Result<Resources> resources = ParseResources(after);
@@ -39,14 +40,14 @@
 SettingsSchema OperatorSchema() {
   return SettingsSchema({
       {"operator", "name", TextKey{"", true, {}},
-       "Name that the audit trail shows."},
+       "Operator's name, recorded in the audit trail."},
       {"store", "address", AddressKey{""},
        "Address of the platform's object API."},
       {"store", "timeout",
        DurationKey{Seconds(2), Milliseconds(10), Seconds(60)},
-       "Longest wait for an answer of the object API."},
+       "Timeout of a call to the object API."},
       {"entry_hosts", "admin", AddressListKey{},
-       "Admin addresses of the entry hosts that wait and status ask."},
+       "Admin addresses of the entry hosts that wait and status query."},
   });
 }
 
@@ -157,8 +158,8 @@
                                           const std::string& value) {
   for (int i = 0; i < kStoreAttempts; ++i) {
     const StoreResponse put = Put(key, value, 0);
-    // The key holds the change's own id, so what stands there is ours: an
-    // earlier try took effect and its answer was lost.
+    // The key contains the random id of this change, so an object that exists
+    // there is its own: an earlier attempt took effect and its answer was lost.
     if (put.status == StoreStatus::kOk ||
         put.status == StoreStatus::kConflict) {
       return true;
@@ -233,14 +234,14 @@
   }
   if (current->set.generation >= record.generation) {
     return Fail(ResultCode::kConflict,
-                "Another operator's change became generation " +
+                "Another operator's change was accepted first as generation " +
                     std::to_string(record.generation) +
-                    " first; nothing of this change was applied. Look at "
+                    "; nothing of this change was applied. Check "
                     "'filbertctl history' and apply again.");
   }
-  // The write may still be on its way and take effect after we have said that
-  // it did not. Writing the root anew as it is changes its version, after which
-  // the old write's condition can no longer hold; then it is safe to try again.
+  // The write may still be in transit and take effect after it was reported as
+  // failed. Rewriting the root unchanged increments its version, so that the
+  // condition of the delayed write can no longer hold and a retry is safe.
   const StoreResponse fencing_write =
       Put(std::string(kConfigRootKey), ToJson(before.root).dump(),
           current->root_version);
@@ -370,7 +371,8 @@
     if (MonotonicNow() >= deadline) {
       return Fail(ResultCode::kNotInForce,
                   "Generation " + std::to_string(generation) +
-                      " is accepted and not yet in force on:" + lagging + ".");
+                      " was accepted but is not yet in force on:" + lagging +
+                      ".");
     }
     Pause(kPollInterval);
   }
