--- a/include/filbertrack/history_check.h
+++ b/include/filbertrack/history_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Decides from the histories of a run whether the statements hold that must
-/// always hold. Processes write their events with the host's monotonic clock,
-/// which all processes of one host share.
+/// Checks the event histories of a test run against the system's invariants.
+/// Events are stamped with the monotonic clock of the machine, so all processes
+/// of a run must share one machine for their times to be comparable.
 
 #include <cstdint>
 #include <string>
@@ -16,15 +16,15 @@
 /// Microseconds on the shared monotonic clock.
 using HistoryTime = int64_t;
 
-/// A member of groups died or was paused, or came back.
+/// A group member went down (terminated or was paused) or came back up.
 struct MemberEvent {
   std::string host;
   bool down = false;
   HistoryTime at = 0;
 };
 
-/// An entry host forwarded pieces of an answer of a group, from the first to
-/// the last.
+/// An entry host forwarded parts of an answer from a group, the first one at
+/// `first` and the last one at `last`.
 struct ForwardEvent {
   std::string request;
   std::string node;
@@ -35,18 +35,18 @@
   HistoryTime last = 0;
 };
 
-/// A controller's write of a domain's groups took effect.
+/// A controller's write of the groups of a fabric domain took effect.
 struct GroupEvent {
   std::string domain;
-  /// Members of each group in it.
+  /// The members of each group in the domain.
   std::vector<std::vector<std::string>> groups;
   HistoryTime at = 0;
 };
 
-/// A backend server began work.
+/// A backend server started to execute a request.
 struct ExecutionEvent {
-  std::string request;  ///< Entry host's id of the try.
-  std::string work_id;  ///< The caller's request, the same for all tries.
+  std::string request;  ///< Id that the entry host gave to the attempt.
+  std::string work_id;  ///< Identifies the work; the same for all attempts.
   std::string server;
   HistoryTime at = 0;
 };
@@ -60,7 +60,7 @@
   kRan
 };
 
-/// What a caller got for one try.
+/// The result that a caller received for one attempt.
 struct CallerEvent {
   std::string request;
   std::string work_id;
@@ -69,20 +69,22 @@
   HistoryTime at = 0;
 };
 
-/// A backend server began to leave, or an entry host to stop.
+/// A backend server began to leave, or an entry host began to stop.
 struct LeaveEvent {
   std::string name;
   HistoryTime at = 0;
 };
 
-/// A configuration came in force on an entry host, or was accepted (no node).
+/// A configuration generation came into force on the entry host `node`, or was
+/// accepted as a change if `node` is empty.
 struct ConfigEvent {
   std::string node;
   uint64_t generation = 0;
   HistoryTime at = 0;
 };
 
-/// A request was in flight on an entry host that stopped as planned, and ended.
+/// A request that was in flight when an entry host began a planned stop has
+/// ended, completely or not.
 struct StoppedRequestEvent {
   std::string node;
   std::string request;
@@ -101,15 +103,18 @@
 };
 
 struct HistoryBounds {
-  /// Age of evidence within which an answer may still be forwarded.
+  /// How long after a member went down an answer of its group may still be
+  /// forwarded, in microseconds: the maximum age of evidence that it is alive.
   HistoryTime max_evidence_age = 1'000'000;
-  /// A leaving server gets no new work after this.
+  /// How long after it began to leave a server may still get new work, in
+  /// microseconds.
   HistoryTime leaving_grace = 5'000'000;
-  /// An accepted configuration is in force everywhere after this.
+  /// Time within which an accepted configuration must be in force on every
+  /// entry host, in microseconds.
   HistoryTime propagation_timeout = 4'000'000;
 };
 
-/// The statements of the users' brief, in its order.
+/// The invariants that the users require, numbered as in their requirements.
 enum class Invariant {
   kNoIncompleteGroupAnswers = 1,
   kOneGroupPerHost,
@@ -125,14 +130,17 @@
 
 struct Violation {
   Invariant invariant;
-  std::string description;  ///< What happened, with names and times.
+  /// The events that violate the invariant, with names and times.
+  std::string description;
 };
 
 std::vector<Violation> CheckHistory(const History& history,
                                     const HistoryBounds& bounds);
 
-/// Adds the events of a text of JSON lines; lines of other kinds are passed
-/// over, broken ones are an error.
+/// Appends the events in `lines` (JSON lines) to `history` and returns their
+/// number. Ignores events of other kinds and lines that do not start with a
+/// brace. kBadRequest if a line is malformed or lacks a field; the events
+/// before it have been appended.
 Result<size_t> ReadHistory(std::string_view lines, History& history);
 
 }  // namespace filbertrack
--- a/include/filbertrack/load_plan.h
+++ b/include/filbertrack/load_plan.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What the load tool sends and when: an open-loop schedule drawn from a seed,
-/// so that a slow answer delays no later request, and a run can be repeated.
+/// Generates the open-loop request schedule of the load tool from a seed. A
+/// slow answer delays no later request, and a run can be repeated exactly.
 
 #include <cstdint>
 #include <random>
@@ -25,18 +25,20 @@
   uint64_t seed = 1;
   Duration duration = Seconds(10);
   double requests_per_second = 10;
-  /// Parts of the whole; the rest is kWhole.
+  /// Fractions of all requests, in total at most 1; the rest is kNonStreamed.
   double stream_share = 1;
   double plain_share = 0;
   double keyed_share = 0;
-  /// Prompt prefixes, drawn with a weight of 1/rank^skew.
+  /// Number of distinct prompt prefixes; the one of rank r (from 1) is drawn
+  /// with weight 1/r^prefix_skew.
   int prefixes = 16;
   double prefix_skew = 1;
+  /// Each request asks for between half of this and this number of tokens.
   int max_tokens = 32;
   std::vector<LoadWorkspace> workspaces;
 };
 
-/// One request, due at `at` after the start of the run.
+/// One scheduled request, due at `offset` after the start of the run.
 struct PlannedRequest {
   uint64_t number = 0;
   Duration offset{0};
@@ -46,11 +48,12 @@
   int tokens = 0;
 };
 
-/// The whole schedule of a run.
+/// Generates the schedule of a run, sorted by time. Arrivals form a Poisson
+/// process of the policy's rate.
 std::vector<PlannedRequest> PlanLoad(const LoadPolicy& policy);
 
-/// The text of a token as the engines' stand-in makes it for `messages`, the
-/// JSON text of the request's messages.
+/// Returns the text of token number `index` as the stand-in engine generates it
+/// for `messages`, the JSON text of the request's messages.
 std::string ExpectedToken(std::string_view messages, uint64_t index);
 
 }  // namespace filbertrack
--- a/include/filbertrack/load_runner.h
+++ b/include/filbertrack/load_runner.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Sends a planned load to entry hosts and checks every answer.
+/// Sends a scheduled load to entry hosts and verifies every answer.
 
 #include <cstdint>
 #include <list>
@@ -18,9 +18,10 @@
 namespace filbertrack {
 
 struct LoadTargets {
-  std::string name;  ///< Of this side, in the results.
+  std::string name;  ///< Name of this side in the results.
   std::vector<Address> entry_hosts;
-  /// The addresses are plain services' own, for comparing with no entry host.
+  /// The addresses are those of a plain service itself, to measure a baseline
+  /// without an entry host.
   bool direct = false;
 };
 
@@ -29,47 +30,50 @@
   std::string model;
   std::string plain_service;
   Duration deadline = Seconds(30);
-  /// Each request goes to every side, so that two policies meet the same load.
+  /// Every request is sent to every side, so that the policies under comparison
+  /// receive the same load.
   std::vector<LoadTargets> sides;
-  /// Keyed requests are sent this many times, each through another entry host.
+  /// Number of times that each request with an idempotency key is sent, one
+  /// after the other, through the entry hosts in turn.
   int keyed_attempts = 1;
-  /// Plain requests carry this header's value for Filbert-Idempotent.
+  /// Value of the Filbert-Idempotent header of plain requests.
   std::string plain_idempotent = "false";
 };
 
-/// What one side saw.
+/// Results of one side.
 struct LoadSummary {
   uint64_t sent = 0;
   uint64_t answered = 0;
   uint64_t refused_not_run = 0;
   uint64_t refused_unknown = 0;
   uint64_t refused_ran = 0;
-  /// A started stream that ended visibly unfinished.
+  /// Answers with status 200 whose connection failed before their end.
   uint64_t truncated = 0;
-  /// No HTTP answer at all.
+  /// Requests that received no HTTP response.
   uint64_t no_answer = 0;
-  /// Wrong text, a missing or doubled token, another request's answer, or an
-  /// end without a sign.
+  /// Answers with wrong text, a missing or duplicate token, the content of
+  /// another request, or a regular end without the closing event.
   uint64_t wrong = 0;
   uint64_t tokens = 0;
   std::map<std::string, uint64_t> answered_of_workspace;
   std::map<int, uint64_t> codes;
-  /// From the moment the request was due.
+  /// Both latencies are measured from the time at which the request was due.
   LatencyHistogram first_token_latency;
   LatencyHistogram total_latency;
+  /// Longest time between two tokens of one stream.
   Duration max_gap{0};
 };
 
 class LoadRunner {
  public:
-  /// Writes a JSON line a request to `lines` if that is not null.
+  /// Writes one JSON line per ended request to `lines` unless it is null.
   LoadRunner(EventLoop& loop, LoadRun run, std::ostream* lines);
   ~LoadRunner();
 
-  /// Runs to the end of the schedule and of the last answer.
+  /// Blocks until every scheduled request has been sent and has ended.
   void Run();
 
-  /// A JSON object a side, with the quantiles of its times.
+  /// Returns one JSON line per side with its counts and latency quantiles.
   std::string Summary() const;
 
  private:
--- a/source/history_check.cc
+++ b/source/history_check.cc
@@ -14,7 +14,7 @@
   return " at " + std::to_string(at) + " us";
 }
 
-/// Times during which a host was down, sorted.
+/// An interval during which a host was down; open-ended if it never came back.
 struct Downtime {
   HistoryTime from = 0;
   HistoryTime to = INT64_MAX;
@@ -48,8 +48,8 @@
         continue;
       }
       for (const Downtime& time : times->second) {
-        // A piece may be forwarded until the evidence from before the loss has
-        // passed its bound.
+        // Evidence from before the loss permits forwarding until it exceeds its
+        // maximum age.
         const HistoryTime from = time.from + bounds.max_evidence_age;
         const bool overlaps =
             forward.last > from && from < time.to && forward.first < time.to;
@@ -100,9 +100,9 @@
   for (const CallerEvent& caller : history.callers) {
     if (caller.result == CallerResult::kNotRun &&
         executed.contains(caller.request)) {
-      violations.push_back(
-          {Invariant::kNotRunIsAccurate,
-           "request " + caller.request + " was called not-run and had run"});
+      violations.push_back({Invariant::kNotRunIsAccurate,
+                            "request " + caller.request +
+                                " was reported as not-run but was executed"});
     }
   }
 }
@@ -146,7 +146,7 @@
     if (!request.completed) {
       violations.push_back({Invariant::kGracefulStop,
                             "request " + request.request +
-                                " was cut off by the planned stop of " +
+                                " was interrupted by the planned stop of " +
                                 request.node});
     }
   }
@@ -167,7 +167,7 @@
       if (events[i].generation < events[i - 1].generation) {
         violations.push_back(
             {Invariant::kConfigPropagation,
-             "entry host " + node + " went back from generation " +
+             "entry host " + node + " reverted from generation " +
                  std::to_string(events[i - 1].generation) + " to " +
                  std::to_string(events[i].generation) +
                  FormatTime(events[i].at)});
@@ -199,15 +199,15 @@
     case Invariant::kOneGroupPerHost:
       return "no host is in two groups";
     case Invariant::kCorrectAnswers:
-      return "every caller gets the whole answer to its own request";
+      return "every caller gets the complete answer to its own request";
     case Invariant::kNotRunIsAccurate:
-      return "what is called not-run was not run";
+      return "a request reported as not-run was not executed";
     case Invariant::kAtMostOnce:
       return "a non-idempotent request runs at most once";
     case Invariant::kNoWorkWhenLeaving:
       return "a leaving backend server gets no new work";
     case Invariant::kGracefulStop:
-      return "a planned stop cuts off nothing in flight";
+      return "a planned stop interrupts no request in flight";
     case Invariant::kConfigPropagation:
       return "an accepted configuration is in force everywhere and never "
              "reverts";
--- a/source/history_read.cc
+++ b/source/history_read.cc
@@ -27,8 +27,8 @@
   return text == "broken" ? CallerResult::kTruncated : CallerResult::kUnknown;
 }
 
-/// One kind of line: its event's name, and how it is added. A kind that several
-/// programs write has the same fields in all of them.
+/// One kind of event: its name, and the function that appends it to a history.
+/// An event that several programs write has the same fields in all of them.
 struct LineKind {
   std::string_view event;
   void (*add)(const Json& line, History& history);
--- a/source/load_runner.cc
+++ b/source/load_runner.cc
@@ -57,7 +57,8 @@
   int attempt = 0;
   TimePoint due;
   std::string messages;
-  /// The request as the backend server names it, for all its tries.
+  /// The name under which the backend server records the request; the same for
+  /// all attempts.
   std::string work_id;
   bool idempotent = true;
   std::string request_id;
@@ -248,8 +249,8 @@
       summary.total_latency.Add(MonotonicNow() - request.due);
     }
   } else if (status == 0 && request.status == kStatusOk) {
-    // The connection closed inside the answer: visibly unfinished, unless the
-    // closing event had come.
+    // The connection failed before the end of the answer. The caller can tell
+    // that it is truncated, unless the closing event had been received.
     result = request.done_seen || request.wrong ? "wrong" : "broken";
     ++(request.done_seen || request.wrong ? summary.wrong : summary.truncated);
   } else if (status == 0) {
--- a/source/main_controller.cc
+++ b/source/main_controller.cc
@@ -1,4 +1,4 @@
-/// filbert-controller: the control loops of one entry host.
+/// filbert-controller: runs the control loops on one entry host.
 
 #include <cstdio>
 
@@ -34,7 +34,8 @@
 int main(int argc, char** argv) {
   return filbertrack::RunProgram(
       {"filbert-controller",
-       "Forms, repairs and dissolves groups as the resources declare.",
+       "Forms, repairs and dissolves groups according to the declared "
+       "resources.",
        filbertrack::ControllerSchema(), filbertrack::RunController},
       argc, argv);
 }
--- a/source/main_gateway.cc
+++ b/source/main_gateway.cc
@@ -1,4 +1,4 @@
-/// filbert-gateway: the request path of one entry host.
+/// filbert-gateway: serves callers' requests on one entry host.
 
 #include <cstdio>
 
@@ -38,7 +38,7 @@
 int main(int argc, char** argv) {
   return filbertrack::RunProgram(
       {"filbert-gateway",
-       "Takes callers' requests and answers them from whole groups.",
+       "Accepts callers' requests and forwards them to complete groups.",
        filbertrack::GatewaySchema(), filbertrack::RunGateway},
       argc, argv);
 }
--- a/source/main_history.cc
+++ b/source/main_history.cc
@@ -1,5 +1,5 @@
-/// filbert-history: checks the histories of a run against the statements that
-/// must always hold.
+/// filbert-history: checks the event histories of a test run against the
+/// system's invariants.
 
 #include <cstdio>
 #include <fstream>
@@ -22,7 +22,7 @@
     const Result<size_t> read = ReadHistory(text.str(), history);
     if (!stream || !read) {
       std::fprintf(stderr, "filbert-history: '%s': %s\n", path.c_str(),
-                   read ? "it cannot be read." : read.error().message.c_str());
+                   read ? "cannot be read." : read.error().message.c_str());
       return static_cast<int>(ResultCode::kUsage);
     }
   }
@@ -34,7 +34,7 @@
   }
   std::printf(
       "%zu callers' results, %zu executions, %zu forwarded answers, %zu "
-      "configurations, %zu losses: %zu violations\n",
+      "configurations, %zu member events: %zu violations\n",
       history.callers.size(), history.executions.size(),
       history.forwards.size(), history.configs.size(), history.members.size(),
       violations.size());
@@ -45,17 +45,19 @@
 }  // namespace filbertrack
 
 int main(int argc, char** argv) {
-  CLI::App app("Checks the histories of a run.", "filbert-history");
+  CLI::App app("Checks the event histories of a test run.", "filbert-history");
   std::vector<std::string> paths;
   filbertrack::HistoryBounds bounds;
   app.set_version_flag("--version", "filbert-history " FILBERTRACK_VERSION);
-  app.add_option("files", paths, "Files of JSON lines.")->required();
+  app.add_option("files", paths, "History files (JSON lines).")->required();
   app.add_option("--evidence-us", bounds.max_evidence_age,
-                 "Bound on evidence.");
-  app.add_option("--leaving-us", bounds.leaving_grace,
-                 "Bound for leaving servers.");
-  app.add_option("--in-force-us", bounds.propagation_timeout,
-                 "Bound for changes.");
+                 "Maximum age of evidence, in microseconds.");
+  app.add_option(
+      "--leaving-us", bounds.leaving_grace,
+      "Time for which a leaving server may get new work, in microseconds.");
+  app.add_option(
+      "--in-force-us", bounds.propagation_timeout,
+      "Time for a change to be in force everywhere, in microseconds.");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
--- a/source/main_load.cc
+++ b/source/main_load.cc
@@ -1,5 +1,5 @@
-/// filbert-load: sends a seeded open-loop load to entry hosts, checks every
-/// answer and prints what each side saw.
+/// filbert-load: sends a seeded open-loop load to entry hosts, verifies every
+/// answer and prints the results of each side.
 
 #include <cstdio>
 #include <fstream>
@@ -19,40 +19,42 @@
        DurationKey{Seconds(10), Milliseconds(100), Seconds(86400)},
        "Length of the schedule."},
       {"run", "requests_per_second", IntegerKey{10, 1, 1000000},
-       "Mean rate of arrivals."},
+       "Mean arrival rate."},
       {"run", "deadline",
        DurationKey{Seconds(30), Milliseconds(10), Seconds(600)},
-       "Deadline that each request names."},
+       "Deadline sent with each request."},
       {"run", "lines", TextKey{"", false, {}},
-       "File for a JSON line a request; empty: none."},
+       "File for one JSON line per request; empty: none."},
       {"side_a", "name", TextKey{"a", false, {}}, "Name in the results."},
-      {"side_a", "entry_hosts", AddressListKey{},
-       "Entry hosts that the requests go to in turn."},
+      {"side_a", "entry_hosts", AddressListKey{}, "Entry hosts, used in turn."},
       {"side_a", "direct", TextKey{"false", false, {"true", "false"}},
-       "Whether the addresses are a plain service's own."},
+       "Whether the addresses are those of a plain service itself."},
       {"side_b", "direct", TextKey{"false", false, {"true", "false"}},
-       "Whether the addresses are a plain service's own."},
+       "Whether the addresses are those of a plain service itself."},
       {"side_b", "name", TextKey{"b", false, {}}, "Name in the results."},
       {"side_b", "entry_hosts", AddressListKey{},
-       "A second side that gets the same load; empty: none."},
-      {"mix", "model", TextKey{"model", false, {}}, "Model that is asked."},
+       "Entry hosts of a second side that gets the same load; empty: none."},
+      {"mix", "model", TextKey{"model", false, {}}, "Model of the requests."},
       {"mix", "plain_service", TextKey{"", false, {}},
-       "Plain service that is asked."},
+       "Plain service of the requests."},
       {"mix", "plain_idempotent", TextKey{"false", false, {"true", "false"}},
        "Whether plain requests may run more than once."},
-      {"mix", "stream_percent", IntegerKey{100, 0, 100}, "Streamed answers."},
-      {"mix", "plain_percent", IntegerKey{0, 0, 100}, "Plain requests."},
+      {"mix", "stream_percent", IntegerKey{100, 0, 100},
+       "Share of requests with a streamed answer."},
+      {"mix", "plain_percent", IntegerKey{0, 0, 100},
+       "Share of plain requests."},
       {"mix", "keyed_percent", IntegerKey{0, 0, 100},
-       "Plain requests with an idempotency key."},
+       "Share of plain requests with an idempotency key."},
       {"mix", "keyed_tries", IntegerKey{1, 1, 10},
-       "How often each keyed request is sent."},
-      {"mix", "prefixes", IntegerKey{16, 1, 100000}, "Prompt prefixes."},
+       "Number of times each keyed request is sent."},
+      {"mix", "prefixes", IntegerKey{16, 1, 100000},
+       "Number of distinct prompt prefixes."},
       {"mix", "prefix_skew_percent", IntegerKey{100, 0, 400},
-       "Exponent of the prefixes' weights, times 100."},
+       "Exponent of the prefixes' Zipf weights, times 100."},
       {"mix", "most_tokens", IntegerKey{32, 1, 100000},
-       "Tokens of a request: between half of this and this."},
+       "Maximum tokens of a request; the minimum is half of it."},
       {"mix", "workspaces", TextKey{"", true, {}},
-       "Keys with weights: officers-key:4 clerks-key:1."},
+       "Workspace keys with weights: officers-key:4 clerks-key:1."},
   });
 }
 
@@ -130,7 +132,8 @@
 int main(int argc, char** argv) {
   return filbertrack::RunProgram(
       {"filbert-load",
-       "Sends a seeded open-loop load to entry hosts and checks every answer.",
+       "Sends a seeded open-loop load to entry hosts and verifies every "
+       "answer.",
        filbertrack::LoadSchema(), filbertrack::RunLoad},
       argc, argv);
 }
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -8,7 +8,7 @@
 namespace filbertrack {
 namespace {
 
-/// A run in which all statements hold.
+/// A run that violates no invariant.
 History ValidRun() {
   History history;
   history.members = {{"h2", true, 10'000'000}, {"h2", false, 30'000'000}};
@@ -31,19 +31,20 @@
   return history;
 }
 
-/// What was broken in the run, and the statement that it breaks.
+/// A change that makes a valid run violate `invariant`.
 struct ViolatingChange {
   Invariant invariant;
   std::function<void(History&)> apply;
 };
 
-TEST_CASE("a good run has no violation") {
+TEST_CASE("a valid run has no violation") {
   CHECK(CheckHistory(ValidRun(), HistoryBounds()).empty());
 }
 
-TEST_CASE("each statement's broken variant is caught, and only as that") {
-  // Without this a checker that finds nothing would look like a system without
-  // faults. Each variant is one event that the statement forbids.
+TEST_CASE("each violating change is reported, and only for its own invariant") {
+  // Guards against a checker that misses violations, whose reports could not be
+  // told from those of a system without faults. Each change adds or alters one
+  // event that the invariant forbids.
   const std::vector<ViolatingChange> variants = {
       {Invariant::kNoIncompleteGroupAnswers,
        [](History& run) { run.forwards[0].last = 11'100'000; }},
@@ -81,11 +82,11 @@
   }
 }
 
-TEST_CASE("lines of programs are read, others are passed over") {
+TEST_CASE("known events are read and other lines are ignored") {
   History history;
   const auto read = ReadHistory(
       "{\"event\":\"member\",\"host\":\"h\",\"state\":\"down\",\"at_us\":5}\n"
-      "not a line of ours\n"
+      "not a JSON line\n"
       "{\"event\":\"draining\"}\n"
       "{\"event\":\"config-in-force\",\"node\":\"e\",\"generation\":3,"
       "\"at_us\":7}\n",
