--- a/tools/build.sh
+++ b/tools/build.sh
@@ -1,12 +1,14 @@
 #!/usr/bin/env bash
-# build.sh FOLDER [cmake options]: configures and builds into FOLDER.
+# Configures and builds the project in a build directory; prints the configure
+# log only on failure.
+#   build.sh BUILD-DIR [CMAKE-OPTION...]
 set -eu
 cd "$(dirname "$0")/.."
-folder=$1
+build_dir=$1
 shift
-cmake -S . -B "$folder" -G Ninja "$@" >"$folder-configure.log" 2>&1 || {
-  cat "$folder-configure.log"
+cmake -S . -B "$build_dir" -G Ninja "$@" >"$build_dir-configure.log" 2>&1 || {
+  cat "$build_dir-configure.log"
   exit 1
 }
-rm -f "$folder-configure.log"
-cmake --build "$folder"
+rm -f "$build_dir-configure.log"
+cmake --build "$build_dir"
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Installs, builds with warnings as errors, checks format and lint, and runs
-# every test but those that KNOWN-RED.txt names. Ends with ctest's closing lines
-# and the exit code that goes with them.
+# Continuous integration: installs the dependencies, builds with warnings as
+# errors, checks format, layers and lint, and runs all tests except those that
+# KNOWN-RED.txt lists. The exit code is that of ctest, or of the first step that
+# fails.
 set -eu
 cd "$(dirname "$0")/.."
 bash tools/install.sh
@@ -10,11 +11,11 @@
 clang-format --dry-run --Werror "${files[@]}"
 bash tools/check_layers.sh
 bash tools/lint.sh
-# A line each: the test's name, a colon, its cause and issue.
-red=""
+# One line per test that is known to fail: its name, a colon, cause and issue.
+known_failures=""
 if [ -s KNOWN-RED.txt ]; then
-  echo "known red, passed over:"
+  echo "known failures, excluded from the run:"
   cat KNOWN-RED.txt
-  red=$(cut -d: -f1 KNOWN-RED.txt | paste -sd'|')
+  known_failures=$(cut -d: -f1 KNOWN-RED.txt | paste -sd'|')
 fi
-ctest --test-dir build --output-on-failure ${red:+-E "^($red)\$"}
+ctest --test-dir build --output-on-failure ${known_failures:+-E "^($known_failures)\$"}
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# fuzz.sh [SECONDS]: runs the fuzzer over everything that reads bytes of others,
-# from the corpus of the repository, with the sanitizers. New inputs go to
-# build-fuzz/corpus; one that ends the process is named and belongs into
-# tests/fuzz/corpus.
+# Fuzzes the parsers of untrusted input with the address and undefined behaviour
+# sanitizers, starting from tests/fuzz/corpus. New inputs go to
+# build-fuzz/corpus. The path of an input that crashes the process is printed; add
+# that file to tests/fuzz/corpus.
+#   fuzz.sh [SECONDS]
 set -eu
 cd "$(dirname "$0")/.."
 seconds=${1:-120}
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need, from Debian's packages.
+# Installs the Debian packages that the build, the checks and the tests need.
 set -eu
 packages="g++ clang-format clang-tidy cmake ninja-build ccache curl
   libevent-dev libwebsocketpp-dev libboost-dev libboost-log-dev libcli11-dev
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the sources of build/compile_commands.json, several at a
-# time, and fails on any finding.
+# Runs clang-tidy over the sources, one process per processor, with the compile
+# commands of build/. Fails if there is any finding.
 set -eu
 cd "$(dirname "$0")/.."
 git ls-files 'source/*.cc' 'platform/*.cc' 'standins/*.cc' 'soak/*.cc' |
--- a/tools/measure_faults.sh
+++ b/tools/measure_faults.sh
@@ -1,20 +1,22 @@
 #!/usr/bin/env bash
-# Kills, pauses and outages under load, checked by the histories of all
-# processes, and the two measures for a repair policy. One fault at a time:
-# kill, pause and domain, or what the arguments name.
-#   measure_faults.sh POLICY SPARES WEIGHT FAULT...
+# Injects one fault at a time under load, prints group downtime and stranded
+# accelerator time for a repair policy, and checks the histories of all processes.
+# FAULT is kill, pause, store-down, domain or gateway-kill; the default is the
+# first four.
+#   measure_faults.sh [POLICY SPARES DOWNTIME-WEIGHT [FAULT...]]
 . "$(dirname "$0")/measure_lib.sh"
 policy=${1:-swap} spares=${2:-1} weight=${3:-0.9}
 shift 3 2>/dev/null || true
 faults=${*:-kill pause store-down domain}
 now_us() { awk '{printf "%.0f", $1 * 1000000}' /proc/uptime; }
-note() { echo "{\"event\":\"member\",\"host\":\"$1\",\"state\":\"$2\",\"at_us\":$(now_us)}" >>"$RUN/faults.lines"; }
+record_member_event() { echo "{\"event\":\"member\",\"host\":\"$1\",\"state\":\"$2\",\"at_us\":$(now_us)}" >>"$RUN/faults.lines"; }
 pid_of() { local name="PID_${1//[-.]/_}"; echo "${!name}"; }
 store_fault() { curl -s -X POST -d "$1" "http://$STORE/v1/fault" >/dev/null; }
 
-# sample FILE: serving replicas and accelerators held by no serving group, every
-# 100 ms, from the objects of the domains.
-sample() {
+# sample_groups FILE: appends the time in us, the number of serving replicas and
+# the number of accelerators in no serving group every 100 ms, as the domains
+# report them.
+sample_groups() {
   while true; do
     ctl --json status 2>/dev/null |
       awk -v at="$(now_us)" '/"domain"/ {
@@ -27,48 +29,48 @@
 
 GATEWAY_EXTRA="[log]\nlevel = debug"
 CONTROLLER_EXTRA="[log]\nlevel = debug\n[repair]\npolicy = $policy"
-start store "$BIN/standins/standin-store"
+start_process store "$BIN/standins/standin-store"
 STORE=$(address_of store)
-start portal "$BIN/standins/standin-engine" --plain --host portal --plain-ms 20 --history
-start weights "$BIN/standins/standin-weights" --loads 2 --window-ms 1000
+start_process portal "$BIN/standins/standin-engine" --plain --host portal --plain-ms 20 --history
+start_process weights "$BIN/standins/standin-weights" --loads 2 --window-ms 1000
 for domain in a b; do
   start_engines "fabric-$domain" "dc-1" 1 9 --prefill-ms 30 --token-ms 20 \
     --slots 16 --load-ms 1000 --weights "$(address_of weights)" --history
 done
 start_entry_hosts 3
 apply_resources 4 4 "$spares" "$weight" "$(address_of portal)"
-wait_serving 3 4 || exit 1
-sample "$RUN/samples" &
-sampler=$!
-DEMO_PIDS+=("$sampler")
+wait_until_serving 3 4 || exit 1
+sample_groups "$RUN/samples" &
+sampler_pid=$!
+PROCESS_IDS+=("$sampler_pid")
 seed=10
 for fault in $faults; do
   seed=$((seed + 1))
-  load "$fault" "[run]" "seed = $seed" "duration = 20s" "requests_per_second = 30" \
+  run_load "$fault" "[run]" "seed = $seed" "duration = 20s" "requests_per_second = 30" \
     "deadline = 20s" "lines = $RUN/results-$fault.lines" \
-    "[side_a]" "name = $fault" "entry_hosts = $(all_callers 3)" \
+    "[side_a]" "name = $fault" "entry_hosts = $(caller_addresses 3)" \
     "[mix]" "model = llm" "most_tokens = 60" "stream_percent = 60" "plain_percent = 15" \
     "keyed_percent = 15" "keyed_tries = 2" "plain_service = portal" \
     "workspaces = large-key:3 small-key:1" >"$RUN/summary-$fault" &
-  loader=$!
+  load_pid=$!
   sleep 4
   victim=$(ctl --json status | grep -o '"members":\["[^"]*","[^"]*' | head -1 | grep -o '[^"]*$')
-  began=$(now_us)
+  fault_start_us=$(now_us)
   case $fault in
-    kill) note "$victim" down; kill -9 "$(pid_of "$victim")" ;;
+    kill) record_member_event "$victim" down; kill -9 "$(pid_of "$victim")" ;;
     pause)
-      note "$victim" down
+      record_member_event "$victim" down
       kill -STOP "$(pid_of "$victim")"
       sleep 8
-      note "$victim" up
+      record_member_event "$victim" up
       kill -CONT "$(pid_of "$victim")" ;;
     domain)
       for n in 1 2 3 4 5 6 7 8 9; do
-        note "fabric-a-h$n" down; kill -STOP "$(pid_of "fabric-a-h$n")"
+        record_member_event "fabric-a-h$n" down; kill -STOP "$(pid_of "fabric-a-h$n")"
       done
       sleep 8
       for n in 1 2 3 4 5 6 7 8 9; do
-        note "fabric-a-h$n" up; kill -CONT "$(pid_of "fabric-a-h$n")"
+        record_member_event "fabric-a-h$n" up; kill -CONT "$(pid_of "fabric-a-h$n")"
       done ;;
     store-down)
       store_fault '{"down":true}'
@@ -76,13 +78,13 @@
       store_fault '{"down":false}' ;;
     gateway-kill) kill -9 "$PID_eh_2_gateway" ;;
   esac
-  wait "$loader"
+  wait "$load_pid"
   cat "$RUN/summary-$fault"
-  awk -v from="$began" -v fault="$fault" -v policy="$policy" -v spares="$spares" '
+  awk -v from="$fault_start_us" -v fault="$fault" -v policy="$policy" -v spares="$spares" '
     $1 >= from - 3000000 && $1 < from {before = $3; b++}
     $1 >= from {step = last ? ($1 - last) / 1e6 : 0; down += (4 - $2) * step; stranded += $3 * step; last = $1}
     END {printf "{\"event\":\"measures\",\"fault\":\"%s\",\"policy\":\"%s\",\"spares\":%d,\"group_downtime_s\":%.2f,\"stranded_accelerator_s\":%.1f}\n", fault, policy, spares, down, stranded}' "$RUN/samples"
-  wait_serving 3 4 || { echo "{\"event\":\"not-healed\",\"fault\":\"$fault\"}"; ctl status --explain; }
+  wait_until_serving 3 4 || { echo "{\"event\":\"not-healed\",\"fault\":\"$fault\"}"; ctl status --explain; }
 done
-kill "$sampler" 2>/dev/null
+kill "$sampler_pid" 2>/dev/null
 "$BIN/source/filbert-history" "$RUN"/results-*.lines "$RUN"/*.log $([ -f "$RUN/faults.lines" ] && echo "$RUN/faults.lines")
--- a/tools/measure_lib.sh
+++ b/tools/measure_lib.sh
@@ -1,36 +1,37 @@
-# Shared by the measuring scripts: a small fleet with two services, on top of
-# tools/demo_lib.sh.
+# Functions shared by the measure_*.sh scripts: a small fleet with two services,
+# built on tools/demo_lib.sh.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 BIN=${BIN:-$PWD/build}
 RUN=${RUN:-$PWD/demo-run}
 rm -rf "$RUN" && mkdir -p "$RUN"
 . tools/demo_lib.sh
-trap stop_all EXIT
+trap stop_processes EXIT
 
-# start_fleet ENTRY-HOSTS: the store, a plain service, and entry hosts eh-1...
-# Domains are started before with start_engines. $GATEWAY_EXTRA and
-# $CONTROLLER_EXTRA are added to the settings.
+# start_entry_hosts COUNT: starts entry hosts eh-1 to eh-COUNT and writes the
+# settings of filbertctl. The store in $STORE and the engines must run already.
+# $GATEWAY_EXTRA and $CONTROLLER_EXTRA are appended to the settings.
 start_entry_hosts() {
   local n
   for ((n = 1; n <= $1; n++)); do
     start_entry_host "eh-$n" "dc-$((n % 3 + 1))" "${GATEWAY_EXTRA:-}" "${CONTROLLER_EXTRA:-}"
   done
   local admins=""
-  for ((n = 1; n <= $1; n++)); do admins+="${admins:+,}$(admin_of "eh-$n-gateway")"; done
+  for ((n = 1; n <= $1; n++)); do admins+="${admins:+,}$(admin_address_of "eh-$n-gateway")"; done
   printf '[operator]\nname = measure\n[store]\naddress = %s\n[entry_hosts]\nadmin = %s\n' \
     "$STORE" "$admins" >"$RUN/ctl.ini"
 }
 
 ctl() { "$BIN/source/filbertctl" -s "$RUN/ctl.ini" "$@"; }
 
-all_callers() { # all_callers N: callers' addresses, separated by commas
+caller_addresses() { # caller_addresses COUNT: comma-separated, of eh-1 to eh-COUNT
   local n list=""
-  for ((n = 1; n <= $1; n++)); do list+="${list:+,}$(callers_of "eh-$n-gateway")"; done
+  for ((n = 1; n <= $1; n++)); do list+="${list:+,}$(caller_address_of "eh-$n-gateway")"; done
   printf '%s' "$list"
 }
 
-# apply_resources REPLICAS MEMBERS SPARES WEIGHT PLAIN-ADDRESS
+# apply_resources REPLICAS MEMBERS SPARES DOWNTIME-WEIGHT PLAIN-ADDRESS: declares
+# the services llm and portal and two workspaces.
 apply_resources() {
   cat >"$RUN/change.json" <<EOF
 {"service/llm": {"type": "model", "downtime_weight": $4},
@@ -48,26 +49,28 @@
   ctl apply -f "$RUN/change.json" --wait --seconds 20 >/dev/null
 }
 
-# wait_serving ENTRY-HOSTS GROUPS
-wait_serving() {
+# wait_until_serving ENTRY-HOSTS GROUPS: waits until exactly so many entry hosts
+# are ready and so many groups serve; gives up after 300 retries at intervals of
+# 0.1 s.
+wait_until_serving() {
   local tries=0
   until [ "$(ctl --json status | grep -c '"ready":true')" -eq "$1" ] &&
     [ "$(ctl --json status | grep -o '"phase":"serving"' | wc -l)" -eq "$2" ]; do
     tries=$((tries + 1))
-    [ "$tries" -le 300 ] || { echo "the fleet does not serve" >&2; return 1; }
+    [ "$tries" -le 300 ] || { echo "fleet not serving after $((tries - 1)) retries: expected $1 ready entry hosts and $2 serving groups" >&2; return 1; }
     sleep 0.1
   done
 }
 
-# load NAME LINES...: runs filbert-load with the INI lines, prints its summary.
-load() {
+# run_load NAME LINES...: runs filbert-load with the INI lines, prints its summary.
+run_load() {
   local name=$1
   shift
   printf '%s\n' "$@" >"$RUN/load-$name.ini"
   "$BIN/source/filbert-load" -s "$RUN/load-$name.ini"
 }
 
-# cpu_ticks PID: user and system time so far, in hundredths of a second.
+# cpu_ticks PID: user and system time used so far, in hundredths of a second.
 cpu_ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
-# peak_kb PID
-peak_kb() { awk '/VmHWM/ {print $2}' "/proc/$1/status"; }
+# peak_rss_kb PID: maximum resident memory, in KiB.
+peak_rss_kb() { awk '/VmHWM/ {print $2}' "/proc/$1/status"; }
--- a/tools/measure_routing.sh
+++ b/tools/measure_routing.sh
@@ -1,25 +1,26 @@
 #!/usr/bin/env bash
-# Time to first token and prefix hits under skewed prefixes, and goodput at
-# twice the capacity: the predicted choice against round-robin, in one run.
+# Compares the routing policies round-robin and predicted: time to first token and
+# prefix cache hits with skewed prefixes, and goodput up to twice the capacity.
+#   [POLICIES="POLICY..."] measure_routing.sh [SECONDS]
 . "$(dirname "$0")/measure_lib.sh"
 seconds=${1:-15}
 for policy in ${POLICIES:-round-robin predicted}; do
   GATEWAY_EXTRA="[routing]\npolicy = $policy"
   SEEDS=""
-  start store "$BIN/standins/standin-store"
+  start_process store "$BIN/standins/standin-store"
   STORE=$(address_of store)
-  start portal "$BIN/standins/standin-engine" --plain --host portal --plain-ms 1
+  start_process portal "$BIN/standins/standin-engine" --plain --host portal --plain-ms 1
   for domain in a b; do
     start_engines "fabric-$domain" "dc-1" 1 4 --prefill-ms 150 --token-ms 5 \
       --slots 8 --cached-prefixes 8 --load-ms 50
   done
   start_entry_hosts 3
   LARGE_RATE=2000 SMALL_RATE=2000 apply_resources 4 2 0 0.9 "$(address_of portal)"
-  wait_serving 3 4 || exit 1
-  sleep 12 # past the slow start
+  wait_until_serving 3 4 || exit 1
+  sleep 12 # longer than the slow start
   echo "# $policy, skewed prefixes"
-  load "skew-$policy" "[run]" "seed = 7" "duration = ${seconds}s" "requests_per_second = 60" \
-    "[side_a]" "name = $policy" "entry_hosts = $(all_callers 3)" \
+  run_load "skew-$policy" "[run]" "seed = 7" "duration = ${seconds}s" "requests_per_second = 60" \
+    "[side_a]" "name = $policy" "entry_hosts = $(caller_addresses 3)" \
     "[mix]" "model = llm" "most_tokens = 32" "prefixes = 24" "workspaces = large-key:1"
   for domain in a b; do
     for n in 1 2 3 4; do
@@ -28,11 +29,11 @@
   done | awk -F'[:,}]' '{for (i = 1; i < NF; i++) {if ($i ~ /hits/) h += $(i+1); if ($i ~ /misses/) m += $(i+1)}} END {printf "{\"event\":\"prefixes\",\"policy\":\"'"$policy"'\",\"hit_share\":%.3f}\n", h / (h + m)}'
   for rate in 80 160 320; do
     echo "# $policy, $rate requests/s, deadline 2 s, a large and a small workspace"
-    load "over-$policy-$rate" "[run]" "seed = 9" "duration = ${seconds}s" \
+    run_load "over-$policy-$rate" "[run]" "seed = 9" "duration = ${seconds}s" \
       "requests_per_second = $rate" "deadline = 2s" \
-      "[side_a]" "name = $policy-$rate" "entry_hosts = $(all_callers 3)" \
+      "[side_a]" "name = $policy-$rate" "entry_hosts = $(caller_addresses 3)" \
       "[mix]" "model = llm" "most_tokens = 32" "prefixes = 24" \
       "workspaces = large-key:9 small-key:1"
   done
-  stop_all
+  stop_processes
 done
