--- a/include/filbertrack/controller.h
+++ b/include/filbertrack/controller.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// The control loops of one entry host: takes the leases of fabric domains that
-/// nobody holds, and keeps the groups of those it holds as declared. All it
-/// decides is in the domains' objects, so any other controller can go on.
+/// Control loop of one entry host. Acquires the leases of fabric domains that
+/// no controller holds and reconciles the groups of its domains with the
+/// declared resources. All decisions are stored in the domain objects, so that
+/// any other controller can continue.
 
 #include <map>
 #include <memory>
@@ -30,8 +31,8 @@
 
   Result<Address> Listen();
 
-  /// Gives the leases back, so that successors need not wait, then stops the
-  /// loop.
+  /// Releases the leases, so that successors need not wait for their expiry,
+  /// then stops the loop. Waits at most 2 s for the writes.
   void Stop();
 
  private:
@@ -41,30 +42,31 @@
   void ReadDomains();
   void ReadState(Domain& domain, const StoredObject& object);
   void WatchHosts();
-  void Pass();
-  void PassDomain(Domain& domain);
-  void Act(Domain& domain, TimePoint now);
+  void RunPass();
+  void ProcessDomain(Domain& domain);
+  void ReconcileDomain(Domain& domain, TimePoint now);
 
   bool MayActOn(const Domain& domain) const;
-  bool HoldsAny() const;
+  bool HoldsAnyLease() const;
   void Heartbeat();
   void OnHeartbeat(uint64_t version, TimePoint began, bool written);
   Duration RankDelay(const Domain& domain) const;
-  void Challenge(Domain& domain);
-  void ReadHolder(Domain& domain);
-  void TakeLease(Domain& domain);
+  void TryAcquireLease(Domain& domain);
+  void ReadHolderHeartbeat(Domain& domain);
+  void AcquireLease(Domain& domain);
 
   void Write(Domain& domain, const DomainState& next);
   void OnWritten(const std::string& name,
                  const std::string& text,
                  uint64_t term,
-                 const StoreAnswer& answer);
-  /// Takes over what the store has; the domain is verified for `term` if that
-  /// is what this controller wrote.
-  void TakeOver(const std::string& name,
-                const StoredObject& object,
-                const std::string& own_text,
-                uint64_t term);
+                 const StoreResponse& response);
+  /// Applies the stored state of a domain. If it equals `own_text`, this
+  /// controller's write took effect, and the domain counts as verified in the
+  /// lease term `term`.
+  void ApplyStoredState(const std::string& name,
+                        const StoredObject& object,
+                        const std::string& own_text,
+                        uint64_t term);
   static void LogGroups(const Domain& domain);
   void SendOrders(Domain& domain, const std::vector<MemberOrder>& orders);
   void SendOrder(Domain& domain, const std::string& host, std::string body);
--- a/include/filbertrack/gateway_peers.h
+++ b/include/filbertrack/gateway_peers.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The part of an entry host that speaks with others: membership, exchange of
-/// evidence and objects, loans, the division of entitlements, and whether this
-/// host may be behind the configuration.
+/// Communication of an entry host with the others: membership, exchange of
+/// evidence and objects, loans, the division of entitlements, and the check
+/// whether this host's configuration may be out of date.
 
 #include <functional>
 #include <map>
@@ -22,10 +22,12 @@
 struct GatewayPeerEvents {
   std::function<void()> on_objects;
   std::function<void(const std::vector<std::string>& groups)> on_evidence;
-  /// Membership or the division changed: who watches what may have too.
+  /// The set of live entry hosts changed, so that this host may have to watch
+  /// other objects and members.
   std::function<void()> on_membership;
-  /// A question about idempotency keys from another entry host.
-  std::function<void(KeyedRequest ask, std::function<void(KeyedReply)> answer)>
+  /// Operations on idempotency keys from another entry host.
+  std::function<void(KeyedRequest request,
+                     std::function<void(KeyedReply)> reply)>
       on_keyed;
 };
 
@@ -45,26 +47,30 @@
   PeerTable& table() { return m_table; }
   const PeerTable& table() const { return m_table; }
 
-  /// The cache changed: the division may be a newer one.
+  /// Must be called after a change of the cache. Applies a newer division of
+  /// the entitlements.
   void OnObjects();
 
   void SetGeneration(uint64_t generation);
   void SetLeaving();
 
-  /// This host's part of every entitlement.
+  /// Returns this host's share of every entitlement, from 0 to 1.
   double Share(TimePoint now) const;
 
-  /// Whether a configuration newer than this host's may have been accepted
-  /// without it having heard.
+  /// Returns whether a newer configuration may have been accepted without this
+  /// host having received it: neither peers nor the store has recently
+  /// confirmed that this host's generation is the latest.
   bool MayBeBehind(TimePoint now) const;
 
-  /// Asks the peer about idempotency keys; null where it did not answer.
-  void AskKeyed(const std::string& node,
-                const KeyedRequest& ask,
-                Duration timeout,
-                std::function<void(const KeyedReply* answer)> done);
+  /// Sends operations on idempotency keys to the peer `node`. `done` receives
+  /// null if the peer is unknown, a request to it is in flight already, or it
+  /// sends no valid reply within `timeout`.
+  void SendKeyedRequest(const std::string& node,
+                        const KeyedRequest& request,
+                        Duration timeout,
+                        std::function<void(const KeyedReply* reply)> done);
 
-  const LoanPolicy& loan_policy() const { return m_loans; }
+  const LoanPolicy& loan_policy() const { return m_loan_policy; }
 
  private:
   struct Neighbour {
@@ -74,19 +80,19 @@
     TimePoint asked_at;
   };
 
-  ExchangeState State();
-  void OnQuestion(std::string_view payload, const PeerServer::Answer& answer);
+  ExchangeState MakeExchangeState();
+  void OnPeerMessage(std::string_view payload, const PeerServer::Answer& reply);
   void Tick();
-  void AskNeighbours(TimePoint now);
-  void AskSeeds(TimePoint now);
-  void Ask(const std::string& name, const Address& address, TimePoint now);
-  void OnAnswer(const std::string& name,
-                const ExchangeRequest& ask,
-                TimePoint asked_at,
-                const std::string* payload);
-  void Confirm(TimePoint now);
+  void QueryNeighbours(TimePoint now);
+  void QuerySeeds(TimePoint now);
+  void Query(const std::string& name, const Address& address, TimePoint now);
+  void OnReply(const std::string& name,
+               const ExchangeRequest& request,
+               TimePoint asked_at,
+               const std::string* payload);
+  void UpdateConfirmations(TimePoint now);
   void ProbeStore(TimePoint now);
-  void KeepDivision(TimePoint now);
+  void UpdateDivision(TimePoint now);
   void WriteDivision(const std::vector<std::string>& live);
 
   EventLoop& m_loop;
@@ -101,16 +107,16 @@
   PeerTable m_table;
   DivisionTracker m_division;
   DivisionPolicy m_division_policy;
-  LoanPolicy m_loans;
+  LoanPolicy m_loan_policy;
   std::unique_ptr<PeerServer> m_server;
   std::map<std::string, Neighbour> m_neighbours;
   std::map<std::string, std::unique_ptr<PeerClient>> m_keyed_clients;
   std::unique_ptr<Timer> m_timer;
   uint64_t m_round = 0;
-  TimePoint m_seeds_asked;
-  TimePoint m_store_probed;
+  TimePoint m_seeds_queried_at;
+  TimePoint m_store_probed_at;
   std::vector<std::string> m_live;
-  TimePoint m_live_since;
+  TimePoint m_live_unchanged_since;
   bool m_writing_division = false;
   std::optional<TimePoint> m_config_confirmed_at;
 };
--- a/include/filbertrack/store_watch.h
+++ b/include/filbertrack/store_watch.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Keeps a cache in step with the object API by watching prefixes. While the
-/// store does not answer, the cache stays as it is and the watch asks again.
+/// Updates a cache by watching prefixes of the object API. While the store does
+/// not respond, the cache stays unchanged and the watch is retried with
+/// exponential backoff.
 
 #include <functional>
 #include <memory>
@@ -20,14 +21,15 @@
              ObjectCache& cache,
              std::function<void()> on_change);
 
-  /// Watches these prefixes from now on; empty: none.
+  /// Replaces the watched prefixes; an empty list stops watching.
   void SetPrefixes(const std::vector<std::string>& prefixes);
 
-  /// Whether the last answer of each watch was one.
+  /// Returns whether the last call for each watched prefix succeeded; true if
+  /// none is watched.
   bool healthy() const;
 
  private:
-  struct Prefix {
+  struct WatchedPrefix {
     std::string prefix;
     uint64_t revision = 0;
     Duration backoff{0};
@@ -35,15 +37,15 @@
     std::unique_ptr<Timer> timer;
   };
 
-  void Ask(const std::shared_ptr<Prefix>& prefix);
-  void OnAnswer(const std::shared_ptr<Prefix>& prefix,
-                const WatchAnswer& answer);
+  void StartWatch(const std::shared_ptr<WatchedPrefix>& prefix);
+  void OnResponse(const std::shared_ptr<WatchedPrefix>& prefix,
+                  const WatchResponse& response);
 
   EventLoop& m_loop;
   StoreClient& m_store;
   ObjectCache& m_cache;
   std::function<void()> m_on_change;
-  std::vector<std::shared_ptr<Prefix>> m_prefixes;
+  std::vector<std::shared_ptr<WatchedPrefix>> m_prefixes;
 };
 
 }  // namespace filbertrack
--- a/soak/soak_callers.h
+++ b/soak/soak_callers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Callers that keep their connections, and what they may see.
+/// Callers with persistent connections, and checks of the responses they get.
 
 #include <deque>
 #include <map>
@@ -16,25 +16,26 @@
 
 class Callers;
 
-enum class CallKind { kStream, kIdempotent, kOnce };
+enum class CallKind { kStream, kIdempotent, kNonIdempotent };
 
 struct CallRecord {
   std::string id;
   CallKind kind = CallKind::kStream;
   std::string entry;
-  TimePoint began;
+  TimePoint started_at;
   TimePoint ended_at;
   bool ended = false;
-  /// The connection broke before the answer was whole.
-  bool broke = false;
+  /// The connection closed, or the caller timed out, before the response was
+  /// complete.
+  bool aborted = false;
   int status = 0;
-  std::string answer_id;
+  std::string response_id;
   std::string seal;
   std::string body;
 };
 
-/// A caller who sends the same request again and again, under new ids and to
-/// any entry host, though servers end under it.
+/// A caller that sends the same request repeatedly, with a new id each time and
+/// to a random entry host, although it crashes the servers that run it.
 class PoisonCaller {
  public:
   PoisonCaller(EventLoop& loop, Fleet& fleet, Callers& callers, uint64_t seed);
@@ -66,40 +67,40 @@
   void Stop();
   bool idle() const { return m_open.empty(); }
 
-  /// Faults that may break a connection were at work at this time.
-  void NoteUnplanned(TimePoint now) { m_unplanned.push_back(now); }
+  /// Records that a fault that may close connections was active at `now`.
+  void RecordDisruption(TimePoint now) { m_disruptions.push_back(now); }
 
-  /// Checks all calls; to be called when none is open.
+  /// Checks all calls and appends violations. Call when idle() is true.
   void Check(std::vector<std::string>& violations);
 
   const std::deque<CallRecord>& records() const { return m_records; }
   size_t count() const { return m_records.size(); }
   size_t CountAnswered() const;
-  /// Of the calls of this kind that began since `since`.
+  /// Answered calls of this kind that started at or after `since`.
   size_t CountAnswered(CallKind kind, TimePoint since) const;
 
  private:
   void Call();
-  void CheckAnswer(const CallRecord& record,
-                   std::vector<std::string>& violations) const;
-  void CheckRuns(const CallRecord& record,
-                 std::vector<std::string>& violations);
-  void ReadRuns();
-  bool IsCalm(const CallRecord& record) const;
+  void CheckResponse(const CallRecord& record,
+                     std::vector<std::string>& violations) const;
+  void CheckRunCount(const CallRecord& record,
+                     std::vector<std::string>& violations);
+  void CountRuns();
+  bool IsUndisrupted(const CallRecord& record) const;
 
   EventLoop& m_loop;
   Fleet& m_fleet;
   std::mt19937_64 m_random;
   std::unique_ptr<Timer> m_timer;
-  /// One client a caller, so that each has connections of its own.
+  /// One client per caller, so that no two callers share a connection.
   std::vector<std::unique_ptr<HttpClient>> m_clients;
   std::deque<CallRecord> m_records;
   std::map<std::string, std::unique_ptr<HttpCall>> m_open;
-  std::map<std::string, std::unique_ptr<Timer>> m_limits;
-  std::deque<TimePoint> m_unplanned;
-  /// How often each request ran, by id.
-  std::map<std::string, int> m_runs;
-  uint64_t m_next = 0;
+  std::map<std::string, std::unique_ptr<Timer>> m_timeouts;
+  std::deque<TimePoint> m_disruptions;
+  /// How often each request ran on a backend server, by request id.
+  std::map<std::string, int> m_run_counts;
+  uint64_t m_last_id = 0;
 };
 
 }  // namespace filbertrack::soak
--- a/soak/soak_fleet.cc
+++ b/soak/soak_fleet.cc
@@ -20,29 +20,30 @@
 
 constexpr Duration kBreakCheck = Milliseconds(50);
 constexpr Duration kProcessCheck = Milliseconds(50);
-/// Beyond the grace time, for a busy machine to take note of the end.
+/// Added to the grace period, for the exit to be noticed on a busy machine.
 constexpr Duration kGraceMargin = Seconds(3);
 constexpr int kDomains = 2;
 
-/// The host of all entry hosts of one run. Runs beside each other have their
-/// own: a port that is free when it is chosen could be another run's when its
-/// process starts, or starts again, and the process would end each time.
-std::string RunHost() {
+/// Loopback address of all entry hosts of this run, derived from the process
+/// id. Concurrent runs use different addresses: otherwise another run could
+/// bind a port between its allocation and the start or restart of the entry
+/// host, which would then exit on each start.
+std::string RunAddress() {
   constexpr unsigned kHosts = 250;
   const auto pid = static_cast<unsigned>(getpid());
   return "127." + std::to_string(1 + pid % kHosts) + "." +
          std::to_string(1 + pid / kHosts % kHosts) + ".1";
 }
 
-/// A port that the kernel has free now.
+/// A port that the kernel reports as free now.
 Address FreeAddress() {
-  const std::string host = RunHost();
+  const std::string host = RunAddress();
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in at{};
   at.sin_family = AF_INET;
   inet_pton(AF_INET, host.c_str(), &at.sin_addr);
   if (bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)) != 0) {
-    std::perror("no free port");
+    std::perror("cannot bind a free port");
   }
   socklen_t size = sizeof(at);
   getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
@@ -50,25 +51,25 @@
   return {host, ntohs(at.sin_port)};
 }
 
-/// Addresses that are free and were not given out before. The kernel may name a
-/// port again that no process listens on yet, and the second process that gets
-/// it would end at each start.
-class AddressPicker {
+/// Allocates free addresses, each at most once. The kernel may return a port
+/// again while no process listens on it yet; the second process that gets it
+/// would exit on each start.
+class AddressAllocator {
  public:
   Address Next() {
     Address address = FreeAddress();
-    while (!m_given.insert(address.port).second) {
+    while (!m_allocated.insert(address.port).second) {
       address = FreeAddress();
     }
     return address;
   }
 
  private:
-  std::set<uint16_t> m_given;
+  std::set<uint16_t> m_allocated;
 };
 
-/// Entry hosts stand in several data centres, so that in fleets of more than a
-/// few hosts loads go through relays.
+/// Entry hosts are spread over several data centres, so that large fleets
+/// exchange loads through relays.
 std::string DataCentre(int host) {
   constexpr int kDataCentres = 3;
   return "z" + std::to_string(host % kDataCentres);
@@ -93,7 +94,7 @@
 Fleet::~Fleet() = default;
 
 bool Fleet::Start() {
-  AddressPicker addresses;
+  AddressAllocator addresses;
   for (int i = 0; i < m_options.entry_hosts; ++i) {
     auto entry = std::make_unique<EntryProcess>();
     entry->name = "e" + std::to_string(i);
@@ -109,7 +110,7 @@
              << "[peers]\nlisten = " << addresses.Next().ToString() << "\n"
              << "[store]\naddress = " << entry->store->address().ToString()
              << "\n[stop]\ngrace = " << ToMilliseconds(kGrace) << "ms\n"
-             << "[groups]\nstall = " << ToMilliseconds(kStall)
+             << "[groups]\nstall = " << ToMilliseconds(kHeadStallTimeout)
              << "ms\nspares_per_domain = 1\n";
     settings.close();
     entry->process = std::make_unique<Process>(
@@ -131,7 +132,7 @@
   options.is_plain = plain;
   options.observer = this;
   options.events = kStreamEvents;
-  options.ends_on = kPoisonBody;
+  options.crash_trigger = kPoisonBody;
   options.domain = "d" + std::to_string(m_next_runner % kDomains);
   options.published = [this, &host](const Address& listening) {
     host->proxy = std::make_unique<Proxy>(m_loop, listening);
@@ -158,20 +159,21 @@
       "new-" + std::to_string(m_config_version),
       "/new" + std::to_string(m_config_version) + "/", "safe", "plain"));
   for (Json& route : config["routes"]) {
-    // Enough for a second send, so that only what may be repeated decides.
+    // Allows retries, so that only whether a request may be repeated decides
+    // how often it runs.
     route["maxAttempts"] = 3;
   }
   m_store.Put("config", "main", config);
 }
 
-PlatformRunnerStandin* Fleet::Find(std::string_view id) {
+PlatformRunnerStandin* Fleet::FindRunner(std::string_view id) {
   const auto found = std::find_if(
       m_runners.begin(), m_runners.end(),
       [id](const auto& host) { return host->standin->id() == id; });
   return found == m_runners.end() ? nullptr : (*found)->standin.get();
 }
 
-int Fleet::CountOpen() const {
+int Fleet::CountOpenGroups() const {
   return static_cast<int>(
       std::count_if(m_runners.begin(), m_runners.end(), [](const auto& host) {
         return !host->standin->is_dead() && host->standin->is_open();
@@ -187,11 +189,12 @@
       const bool is_head = !head.members().empty() &&
                            head.members().front() == head.id() &&
                            head.group() == last->second;
-      const bool takes = head.state() == "open" || head.state() == "closing";
-      const auto still = m_still_since.find(head.group());
-      const bool broken = still != m_still_since.end() &&
-                          MonotonicNow() - still->second >= kStall;
-      if (is_head && takes && !head.is_dead() && !broken) {
+      const bool serves = head.state() == "open" || head.state() == "closing";
+      const auto incomplete_since = m_incomplete_since.find(head.group());
+      const bool broken =
+          incomplete_since != m_incomplete_since.end() &&
+          MonotonicNow() - incomplete_since->second >= kHeadStallTimeout;
+      if (is_head && serves && !head.is_dead() && !broken) {
         m_violations.push_back(runner.id() + " joined " + group +
                                " while the head of " + head.group() + ", " +
                                head.id() + ", was " + head.state());
@@ -203,11 +206,11 @@
 
 void Fleet::OnOpen(const PlatformRunnerStandin& runner) {
   for (const std::string& id : runner.members()) {
-    const PlatformRunnerStandin* member = Find(id);
+    const PlatformRunnerStandin* member = FindRunner(id);
     const bool ready = member != nullptr && member->group() == runner.group() &&
                        member->epoch() == runner.epoch() &&
                        member->state() == "ready";
-    // One that was lost meanwhile is no fault of the order.
+    // A member that was lost in the meantime does not make the order wrong.
     const bool lost = member == nullptr || member->is_dead() ||
                       member->group() != runner.group();
     if (!ready && !lost) {
@@ -219,7 +222,7 @@
 
 void Fleet::OnCrash(const PlatformRunnerStandin&) {
   ++m_crashes;
-  // The platform starts another one in its place.
+  // The platform starts a replacement.
   AddRunner();
 }
 
@@ -233,18 +236,18 @@
       continue;
     }
     const auto& members = head.members();
-    const bool whole =
+    const bool complete =
         std::all_of(members.begin(), members.end(), [&](const std::string& id) {
-          const PlatformRunnerStandin* member = Find(id);
+          const PlatformRunnerStandin* member = FindRunner(id);
           return member != nullptr && !member->is_dead() &&
                  member->group() == head.group() &&
                  member->epoch() == head.epoch();
         });
-    if (whole) {
-      m_still_since.erase(head.group());
-    } else if (now -
-                   m_still_since.try_emplace(head.group(), now).first->second >=
-               kStall) {
+    if (complete) {
+      m_incomplete_since.erase(head.group());
+    } else if (now - m_incomplete_since.try_emplace(head.group(), now)
+                         .first->second >=
+               kHeadStallTimeout) {
       head.Break();
     }
   }
@@ -253,24 +256,26 @@
 void Fleet::WatchProcesses() {
   const TimePoint now = MonotonicNow();
   for (const auto& entry : m_entries) {
-    const auto end = entry->process->TakeEnd();
-    if (end && !entry->ending_since) {
-      m_violations.push_back(entry->name + " ended by itself with " +
+    const auto end = entry->process->TakeExitStatus();
+    if (end && !entry->end_signalled_at) {
+      m_violations.push_back(entry->name +
+                             " exited without a signal, with status " +
                              std::to_string(*end));
     } else if (end && !entry->killed && *end != 0) {
-      m_violations.push_back(entry->name + " ended with " +
-                             std::to_string(*end) + " after a stop signal");
+      m_violations.push_back(entry->name + " exited with status " +
+                             std::to_string(*end) + " after SIGTERM");
     }
     if (end) {
-      // The platform starts it again.
-      entry->ending_since.reset();
+      // The platform restarts it.
+      entry->end_signalled_at.reset();
       entry->killed = false;
       entry->paused = false;
-      entry->disturbed.push_back(now);
+      entry->disruptions.push_back(now);
       entry->process->Start();
-    } else if (entry->ending_since && !entry->killed && !entry->paused &&
-               now - *entry->ending_since > kGrace + kGraceMargin) {
-      m_violations.push_back(entry->name + " still runs after its grace time");
+    } else if (entry->end_signalled_at && !entry->killed && !entry->paused &&
+               now - *entry->end_signalled_at > kGrace + kGraceMargin) {
+      m_violations.push_back(entry->name +
+                             " still runs after its grace period");
       entry->killed = true;
       entry->process->Signal(SIGKILL);
     }
--- a/soak/soak_signals.h
+++ b/soak/soak_signals.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Backend servers that say how much they take, under all the other faults.
+/// Makes backend servers send rate limits, Retry-After and leaving signals
+/// while other faults are active, and checks that entry hosts respect them.
 
 #include <functional>
 #include <map>
@@ -18,56 +19,60 @@
  public:
   Signals(EventLoop& loop, Fleet& fleet, uint64_t seed);
 
-  /// A server begins to say something each `interval` on average.
+  /// Starts signals at random times, one per `interval` on average.
   void Start(Duration interval);
-  /// All servers take whatever comes, but those that leave.
+  /// Ends all limits and refusals; servers that leave still do.
   void Stop();
 
-  /// Checks what came to the servers; to be called when no call is open.
+  /// Checks the requests that reached the servers and appends violations. Call
+  /// when no call is open.
   void Check(const Callers& callers, std::vector<std::string>& violations);
 
-  size_t count() const { return m_spans.size(); }
-  /// Requests that were compared with what the servers had said.
+  size_t count() const { return m_periods.size(); }
+  /// Requests, refusals and leaving notices that were checked against signals.
   size_t checked() const { return m_checked; }
 
  private:
-  enum class Kind { kLimit, kRest, kLeaving };
-  /// What a server said, and how long.
-  struct Span {
+  enum class Kind { kLimit, kRetryAfter, kLeaving };
+  /// A signal of one server and the time during which it was sent.
+  struct SignalPeriod {
     Kind kind = Kind::kLimit;
     RunnerHost* host = nullptr;
     TimePoint begin;
     TimePoint end;
     double limit = 0;
-    Duration rest{0};
+    Duration retry_after{0};
   };
   struct Arrival {
     TimePoint at;
-    /// Entry host that sent it; null: it is not known.
+    /// Entry host that sent it; null if unknown.
     const EntryProcess* entry = nullptr;
     bool refused = false;
   };
 
-  void Next();
-  void Begin();
-  /// A living server that says nothing now; null: there is none.
-  RunnerHost* AnyQuiet();
-  void BeginLimit(RunnerHost& host);
-  void BeginRest(RunnerHost& host);
-  void BeginLeaving(RunnerHost& host);
-  /// Ends what the server says after `time`.
-  void EndAfter(Duration time, std::function<void()> undo);
+  void ScheduleNext();
+  void StartSignal();
+  /// A random live server without an active signal; null if at most
+  /// kMinUnsignalledServers are left.
+  RunnerHost* RandomUnsignalledServer();
+  void StartLimit(RunnerHost& host);
+  void StartRefusals(RunnerHost& host);
+  void StartLeaving(RunnerHost& host);
+  /// Calls `undo` after `time`, unless Stop() came first.
+  void UndoAfter(Duration time, std::function<void()> undo);
 
   std::vector<Arrival> ArrivalsAt(const RunnerHost& host) const;
-  /// The arrival's entry host had passed on what the server said.
-  bool WasTold(const Span& span,
-               const Callers& callers,
-               const Arrival& arrival) const;
-  void CheckLimit(const Span& span,
+  /// Whether the entry host of `arrival` had received the signal: it forwarded
+  /// a response of the server early enough and was not disrupted since.
+  bool HadReceivedSignal(const SignalPeriod& period,
+                         const Callers& callers,
+                         const Arrival& arrival) const;
+  void CheckLimit(const SignalPeriod& period,
                   const Callers& callers,
                   std::vector<std::string>& violations);
-  void CheckRest(const Span& span, std::vector<std::string>& violations);
-  void CheckLeaving(const Span& span,
+  void CheckRetryAfter(const SignalPeriod& period,
+                       std::vector<std::string>& violations);
+  void CheckLeaving(const SignalPeriod& period,
                     const Callers& callers,
                     std::vector<std::string>& violations);
 
@@ -76,8 +81,8 @@
   std::mt19937_64 m_random;
   Duration m_interval{0};
   bool m_stopped = true;
-  std::vector<Span> m_spans;
-  /// Servers that say something now, or have said that they leave.
+  std::vector<SignalPeriod> m_periods;
+  /// Servers with an active signal, and those that leave or have left.
   std::set<RunnerHost*> m_active;
   /// Entry host of each call.
   std::map<std::string, const EntryProcess*> m_entry_of;
--- a/source/config_follower.cc
+++ b/source/config_follower.cc
@@ -27,10 +27,10 @@
   if (!m_fetching.insert(key).second) {
     return;
   }
-  m_store.Get(key, [this](const StoreAnswer& answer) {
-    m_fetching.erase(answer.object.key);
-    if (answer.status == StoreStatus::kOk) {
-      m_cache.Offer(answer.object);
+  m_store.Get(key, [this](const StoreResponse& response) {
+    m_fetching.erase(response.object.key);
+    if (response.status == StoreStatus::kOk) {
+      m_cache.Offer(response.object);
       Follow();
     }
   });
@@ -39,8 +39,9 @@
 void ConfigFollower::Adopt(ConfigSet set) {
   Result<Resources> resources = ParseResources(set.resources);
   if (!resources) {
-    // Operators' commands validate before they write, so this is a set of a
-    // newer program. The present one stays in force, and status shows it.
+    // Operators' commands validate a change before they write it, so this set
+    // was written by a newer version of the program. The present set stays in
+    // force, and the status page shows its generation.
     Log(LogLevel::kError, "config-refused",
         {{"generation", set.generation}, {"why", resources.error().message}});
     return;
--- a/source/entry_peers.cc
+++ b/source/entry_peers.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// The store holds values up to 1 MiB; the text here may be spaced otherwise.
+/// Maximum size of a decompressed configuration. The store accepts values up to
+/// 1 MiB; the text that peers send may contain more whitespace.
 constexpr size_t kMaxConfigBytes = 4 * 1024 * 1024;
 
 }  // namespace
@@ -35,10 +36,10 @@
       m_feed(feed),
       m_roster(loop, m_own, listen, {}, records, RosterEvents()),
       m_started(MonotonicNow()),
-      m_config_fetch(policy.ask_timeout, Duration(0)),
-      m_servers_fetch(policy.ask_timeout, policy.fetch_spacing),
+      m_config_fetch(policy.request_timeout, Duration(0)),
+      m_servers_fetch(policy.request_timeout, policy.min_fetch_gap),
       m_gossip(m_own.name, m_own.data_centre, {}),
-      m_exchange(policy.loads),
+      m_load_exchange(policy.loads),
       m_random(RendezvousWeight("peers", m_own.name)) {}
 
 EntryPeers::~EntryPeers() = default;
@@ -48,7 +49,7 @@
           [this](const FleetHost& host, const std::string& address) {
             AddPeer(host, address);
           },
-          [this] { m_listed = true; }};
+          [this] { m_has_list = true; }};
 }
 
 void EntryPeers::Start() {
@@ -59,18 +60,18 @@
 void EntryPeers::OnSecret(const std::string& secret) {
   m_secret = secret;
   Listen(secret);
-  m_round_timer = m_loop.Every(m_policy.interval, [this] { Round(); });
+  m_round_timer = m_loop.Every(m_policy.interval, [this] { RunRound(); });
 }
 
 void EntryPeers::Listen(const std::string& secret) {
   m_server = std::make_unique<PeerServer>(
       m_loop, secret,
       [this](std::string_view payload, const PeerServer::Answer& answer) {
-        OnQuestion(payload, answer);
+        OnRequest(payload, answer);
       });
   Address bound;
   if (!m_server->Listen(m_listen, &bound)) {
-    // The others' answers still reach this host.
+    // Replies to this host's own requests still arrive.
     Log(LogLevel::kError, "peers-not-listening",
         {{"address", m_listen.ToString()}});
   }
@@ -104,54 +105,56 @@
 }
 
 bool EntryPeers::IsLocal(std::string_view data_centre) const {
-  // A small fleet needs no sums: each host hears all others in every round.
+  // A small fleet needs no sums, as each host exchanges its state with all
+  // others in every round.
   return data_centre.empty() || data_centre == m_own.data_centre ||
          m_peers.size() <= m_policy.neighbours;
 }
 
-void EntryPeers::OnOwnChange() {
+void EntryPeers::OnLocalChange() {
   const uint64_t config =
       m_host.catalog() == nullptr ? 0 : m_host.catalog()->version();
   const uint64_t servers = m_host.server_log().revision();
   const EvacuationUpdate evacuations = m_host.evacuations().News();
-  if (config == m_told_config && servers == m_told_servers &&
-      evacuations == m_told_evacuations) {
+  if (config == m_announced_config && servers == m_announced_servers &&
+      evacuations == m_announced_evacuations) {
     return;
   }
-  // Registrations change often, so only those who hear of it from the store
-  // tell the others at once.
-  const bool tells = m_watching || config != m_told_config ||
-                     evacuations != m_told_evacuations;
-  m_told_evacuations = evacuations;
-  m_told_config = config;
-  m_told_servers = servers;
-  if (tells && m_round_timer != nullptr) {
-    Round();
+  // Registrations change often, so only hosts that watch the store send them at
+  // once; the others wait for the next round.
+  const bool announces = m_watching || config != m_announced_config ||
+                         evacuations != m_announced_evacuations;
+  m_announced_evacuations = evacuations;
+  m_announced_config = config;
+  m_announced_servers = servers;
+  if (announces && m_round_timer != nullptr) {
+    RunRound();
   }
 }
 
-void EntryPeers::Round() {
+void EntryPeers::RunRound() {
   const TimePoint now = MonotonicNow();
   m_gossip.ForgetOld(now);
-  SumLoads(now);
+  UpdateRemoteLoads(now);
   m_host.BlockPoisonRequests();
-  NameTrialHosts(now);
-  NameLimitHosts(now);
-  ChooseWatch(now);
+  UpdateTrialHosts(now);
+  UpdateLimitHosts(now);
+  UpdateWatching(now);
   AskLocalPeers(now);
   ExchangeLoads(now);
 }
 
-void EntryPeers::NameLimitHosts(TimePoint now) {
-  const bool same = m_limit_hosts_membership == m_gossip.membership() &&
-                    now - m_limit_hosts_named < m_policy.naming_interval;
-  if (same && !IsSettling(now)) {
+void EntryPeers::UpdateLimitHosts(TimePoint now) {
+  const bool same =
+      m_limit_hosts_membership == m_gossip.membership() &&
+      now - m_limit_hosts_updated < m_policy.host_refresh_interval;
+  if (same && !IsStartingUp(now)) {
     return;
   }
   m_limit_hosts_membership = m_gossip.membership();
-  m_limit_hosts_named = now;
+  m_limit_hosts_updated = now;
   std::vector<std::string> hosts = m_gossip.Hosts(now);
-  if (IsSettling(now)) {
+  if (IsStartingUp(now)) {
     for (const auto& [name, peer] : m_peers) {
       hosts.push_back(name);
     }
@@ -159,13 +162,14 @@
   m_host.backpressure().SetFleet(hosts, now);
 }
 
-void EntryPeers::NameTrialHosts(TimePoint now) {
+void EntryPeers::UpdateTrialHosts(TimePoint now) {
   if (m_host.poison().IsIdle()) {
     return;
   }
   std::vector<std::string> hosts = m_gossip.Hosts(now);
-  // A host that hears few of the others may be cut off from them: they have one
-  // that lets a copy through as well.
+  // A host that receives messages from less than half of its peers may be
+  // partitioned from them. The other side has a host that sends trial copies
+  // too, so this one sends none.
   if (hosts.size() * 2 < m_peers.size()) {
     hosts.clear();
   } else {
@@ -176,14 +180,14 @@
 
 void EntryPeers::AskLocalPeers(TimePoint now) {
   size_t asked = 0;
-  auto next = m_peers.upper_bound(m_last_near);
+  auto next = m_peers.upper_bound(m_last_local_peer);
   for (size_t i = 0; i < m_peers.size() && asked < m_policy.neighbours; ++i) {
     if (next == m_peers.end()) {
       next = m_peers.begin();
     }
     if (IsLocal(next->second.host.data_centre) &&
         TryAsk(next->first, next->second, now)) {
-      m_last_near = next->first;
+      m_last_local_peer = next->first;
       ++asked;
     }
     ++next;
@@ -191,162 +195,164 @@
 }
 
 bool EntryPeers::TryAsk(const std::string& name, Peer& peer, TimePoint now) {
-  const Duration pause = peer.silent ? m_policy.silent_interval : Duration(0);
-  if (peer.busy() || now - peer.asked_at < pause) {
+  const Duration pause =
+      peer.unresponsive ? m_policy.unresponsive_interval : Duration(0);
+  if (peer.busy() || now - peer.last_request < pause) {
     return false;
   }
-  Ask(name, peer, Wants::kOwnOnly, now);
+  Ask(name, peer, LoadScope::kOwn, now);
   return true;
 }
 
 void EntryPeers::Ask(const std::string& name,
                      Peer& peer,
-                     Wants wants,
+                     LoadScope scope,
                      TimePoint now) {
-  peer.asked_at = now;
-  const GossipRequest ask{OwnGossipState(peer.host.data_centre),
-                          m_config_fetch.IsFrom(name),
-                          m_servers_fetch.IsFrom(name),
-                          wants != Wants::kOwnOnly,
-                          peer.known_poison_revision,
-                          wants == Wants::kFarAndNear,
-                          peer.known_limits_revision};
-  std::string message = EncodeGossipRequest(ask);
+  peer.last_request = now;
+  const GossipRequest request{OwnGossipState(peer.host.data_centre),
+                              m_config_fetch.IsFrom(name),
+                              m_servers_fetch.IsFrom(name),
+                              scope != LoadScope::kOwn,
+                              peer.known_poison_revision,
+                              scope == LoadScope::kRemoteAndLocal,
+                              peer.known_limits_revision};
+  std::string message = EncodeGossipRequest(request);
   m_sent.states += message.size();
   if (peer.client == nullptr) {
     peer.client = std::make_unique<PeerClient>(m_loop, m_secret, peer.address);
   }
   peer.client->Ask(
-      std::move(message), m_policy.ask_timeout,
-      [this, name](const std::string* payload) { OnAnswer(name, payload); });
+      std::move(message), m_policy.request_timeout,
+      [this, name](const std::string* payload) { OnReply(name, payload); });
 }
 
-void EntryPeers::OnAnswer(const std::string& name, const std::string* payload) {
+void EntryPeers::OnReply(const std::string& name, const std::string* payload) {
   const auto peer = m_peers.find(name);
   if (peer == m_peers.end()) {
     return;
   }
-  if (peer->second.silent != (payload == nullptr)) {
-    peer->second.silent = payload == nullptr;
+  if (peer->second.unresponsive != (payload == nullptr)) {
+    peer->second.unresponsive = payload == nullptr;
     Log(LogLevel::kInfo, payload == nullptr ? "peer-lost" : "peer-back",
         {{"peer", name}});
   }
   const TimePoint now = MonotonicNow();
-  // Whatever it says: a fetch begins with its own question, and a peer has one
-  // question at a time.
+  // Regardless of the content: a fetch starts with a request of its own, and
+  // each peer has at most one request in flight.
   m_config_fetch.End(name, now);
   m_servers_fetch.End(name, now);
   if (payload == nullptr) {
     return;
   }
-  const Result<GossipReply> answer = DecodeGossipReply(*payload);
-  if (!answer) {
+  const Result<GossipReply> reply = DecodeGossipReply(*payload);
+  if (!reply) {
     Log(LogLevel::kWarning, "peer-refused",
-        {{"peer", name}, {"why", answer.error().message}});
+        {{"peer", name}, {"why", reply.error().message}});
     return;
   }
-  NoteNews(answer->state, now);
-  if (!answer->state.remote_loads.empty()) {
-    // A relay's answer is the freshest there is.
-    SumLoads(now);
+  RecordState(reply->state, now);
+  if (!reply->state.remote_loads.empty()) {
+    // A relay's reply holds the newest loads available.
+    UpdateRemoteLoads(now);
   }
-  peer->second.known_poison_revision = answer->poison.revision;
-  m_host.poison().OnPeerUpdate(answer->poison, name, now);
-  peer->second.known_limits_revision = answer->limits.revision;
-  m_host.backpressure().OnPeerUpdate(answer->limits, name, now);
-  TakeOver(*answer);
-  WantNewer(name, answer->state);
+  peer->second.known_poison_revision = reply->poison.revision;
+  m_host.poison().OnPeerUpdate(reply->poison, name, now);
+  peer->second.known_limits_revision = reply->limits.revision;
+  m_host.backpressure().OnPeerUpdate(reply->limits, name, now);
+  ApplyReply(*reply);
+  FetchNewer(name, reply->state);
 }
 
-void EntryPeers::WantNewer(const std::string& name, const GossipState& state) {
+void EntryPeers::FetchNewer(const std::string& name, const GossipState& state) {
   const TimePoint now = MonotonicNow();
   const uint64_t own =
       m_host.catalog() == nullptr ? 0 : m_host.catalog()->version();
-  const bool config =
+  const bool fetch_config =
       state.config_version > own && m_config_fetch.MayBegin(now);
-  const bool servers =
+  const bool fetch_servers =
       state.servers_revision > m_host.server_log().revision() &&
       m_servers_fetch.MayBegin(now);
   const auto peer = m_peers.find(name);
-  if ((!config && !servers) || peer == m_peers.end() || peer->second.busy()) {
+  if ((!fetch_config && !fetch_servers) || peer == m_peers.end() ||
+      peer->second.busy()) {
     return;
   }
-  if (config) {
+  if (fetch_config) {
     m_config_fetch.Begin(name, now);
   }
-  if (servers) {
+  if (fetch_servers) {
     m_servers_fetch.Begin(name, now);
   }
-  Ask(name, peer->second, Wants::kOwnOnly, now);
+  Ask(name, peer->second, LoadScope::kOwn, now);
 }
 
-void EntryPeers::OnQuestion(std::string_view payload,
-                            const PeerServer::Answer& answer) {
-  const Result<GossipRequest> ask = DecodeGossipRequest(payload);
-  if (!ask) {
-    Log(LogLevel::kWarning, "peer-refused", {{"why", ask.error().message}});
+void EntryPeers::OnRequest(std::string_view payload,
+                           const PeerServer::Answer& answer) {
+  const Result<GossipRequest> request = DecodeGossipRequest(payload);
+  if (!request) {
+    Log(LogLevel::kWarning, "peer-refused", {{"why", request.error().message}});
     return;
   }
-  const GossipState& requester = ask->state;
-  NoteNews(requester, MonotonicNow());
+  const GossipState& requester = request->state;
+  RecordState(requester, MonotonicNow());
   AddPeer({requester.node, requester.data_centre, requester.capacity,
            requester.store_fails},
           requester.address);
-  answer(Answer(*ask));
-  // The asker may know more: it is asked back at once, so that a change passes
-  // on at the speed of the network and not of the rounds.
-  WantNewer(requester.node, requester);
+  answer(MakeReply(*request));
+  // If the requester has newer data, it is sent a request at once, so that
+  // changes spread without waiting for the next round.
+  FetchNewer(requester.node, requester);
 }
 
-std::string EntryPeers::Answer(const GossipRequest& ask) {
-  GossipState own = OwnGossipState(ask.state.data_centre);
-  if (ask.wants_remote_loads) {
+std::string EntryPeers::MakeReply(const GossipRequest& request) {
+  GossipState own = OwnGossipState(request.state.data_centre);
+  if (request.wants_remote_loads) {
     m_gossip.AddRemoteLoads(own, MonotonicNow());
   }
-  if (ask.wants_local_loads) {
-    m_gossip.AddLocalLoads(own, ask.state.node, MonotonicNow());
+  if (request.wants_local_loads) {
+    m_gossip.AddLocalLoads(own, request.state.node, MonotonicNow());
   }
-  GossipReply answer = MakeGossipReply(
-      own, ask.wants_config ? m_host.compressed_catalog() : std::string(),
-      m_host.server_log(), ask);
-  answer.poison =
-      m_host.poison().Since(ask.known_poison_revision, MonotonicNow());
-  answer.limits =
-      m_host.backpressure().Since(ask.known_limits_revision, MonotonicNow());
-  std::string message = EncodeGossipReply(answer);
-  m_sent.configs += answer.config.size();
-  (answer.servers.empty() ? m_sent.states : m_sent.servers) +=
-      message.size() - answer.config.size();
+  GossipReply reply = MakeGossipReply(
+      own, request.wants_config ? m_host.compressed_catalog() : std::string(),
+      m_host.server_log(), request);
+  reply.poison =
+      m_host.poison().Since(request.known_poison_revision, MonotonicNow());
+  reply.limits = m_host.backpressure().Since(request.known_limits_revision,
+                                             MonotonicNow());
+  std::string message = EncodeGossipReply(reply);
+  m_sent.configs += reply.config.size();
+  (reply.servers.empty() ? m_sent.states : m_sent.servers) +=
+      message.size() - reply.config.size();
   return message;
 }
 
-void EntryPeers::TakeOverConfig(const GossipReply& answer) {
-  const auto text = Decompress(answer.config, kMaxConfigBytes);
+void EntryPeers::ApplyConfig(const GossipReply& reply) {
+  const auto text = Decompress(reply.config, kMaxConfigBytes);
   Result<Catalog> catalog =
       text ? m_decoder.ReadCatalog(*text)
            : Fail(ResultCode::kResourceInvalid,
-                  "the configuration cannot be unpacked, or is over " +
+                  "the configuration cannot be decompressed or exceeds " +
                       std::to_string(kMaxConfigBytes) + " bytes.");
   if (catalog) {
     m_host.OnCatalog(std::make_shared<const Catalog>(std::move(*catalog)),
                      *text);
   } else {
     Log(LogLevel::kError, "config-invalid",
-        {{"peer", answer.state.node}, {"why", catalog.error().message}});
+        {{"peer", reply.state.node}, {"why", catalog.error().message}});
   }
 }
 
-void EntryPeers::TakeOver(const GossipReply& answer) {
-  if (!answer.config.empty()) {
-    TakeOverConfig(answer);
+void EntryPeers::ApplyReply(const GossipReply& reply) {
+  if (!reply.config.empty()) {
+    ApplyConfig(reply);
   }
-  if (answer.servers.empty() && !answer.servers_complete) {
+  if (reply.servers.empty() && !reply.servers_complete) {
     return;
   }
   ServerChanges changes;
-  changes.is_complete = answer.servers_complete;
-  changes.revision = answer.state.servers_revision;
-  for (const LoggedObject& object : answer.servers) {
+  changes.is_complete = reply.servers_complete;
+  changes.revision = reply.state.servers_revision;
+  for (const LoggedObject& object : reply.servers) {
     if (object.text.empty()) {
       changes.removed.push_back({object.id, object.version});
       continue;
@@ -363,7 +369,7 @@
   m_host.OnServers(std::move(changes));
 }
 
-void EntryPeers::NoteNews(const GossipState& state, TimePoint now) {
+void EntryPeers::RecordState(const GossipState& state, TimePoint now) {
   m_gossip.Note(state, now);
   m_host.OnPeerEvacuations(state.evacuations);
   if (state.store_back_for) {
--- a/source/http_client.cc
+++ b/source/http_client.cc
@@ -11,18 +11,20 @@
 
 namespace {
 
-/// A kept connection is used for this part of the time that the server states.
-/// Closer to its end, the request could cross the server's close, and nobody
-/// would know whether it ran.
-constexpr double kKeepAliveShare = 0.7;
-/// Where the server states no time. Most servers keep connections longer.
-constexpr Duration kUnstatedKeepAlive = Seconds(4);
-/// Silence of the server's host after which a connection counts as broken.
-constexpr Duration kServerHostTimeout = Seconds(4);
+/// Fraction of the server's keep-alive timeout for which an idle connection is
+/// reused. Later, the server could close the connection while the request is on
+/// its way, which leaves unknown whether it ran.
+constexpr double kKeepAliveFraction = 0.7;
+/// Used if the server states no timeout. Most servers keep idle connections
+/// longer.
+constexpr Duration kDefaultKeepAliveTimeout = Seconds(4);
+/// Time without an acknowledgement from the server's host after which a
+/// connection fails.
+constexpr Duration kDeadServerTimeout = Seconds(4);
 constexpr size_t kMaxResponseHeaderBytes = 64 * 1024;
 constexpr int kFirstFinalStatus = 200;
 
-std::optional<Duration> StatedKeepAlive(const HttpHeaders& headers) {
+std::optional<Duration> ParseKeepAliveTimeout(const HttpHeaders& headers) {
   const std::string_view text = FindHeader(headers, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const size_t at = text.find(kName);
@@ -59,12 +61,12 @@
 
 }  // namespace
 
-/// A connection to a server, used by one call after the other.
+/// A connection to a server, used by one call at a time.
 struct ServerConnection {
   std::shared_ptr<TcpStream> stream;
   std::unique_ptr<HttpMessageParser> parser;
   TimePoint usable_until;
-  /// The call that the next answer belongs to; null while idle.
+  /// The call that receives the next response; null while idle.
   HttpCall::State* call = nullptr;
 };
 
@@ -74,8 +76,9 @@
   std::map<Address, std::deque<std::shared_ptr<ServerConnection>>> idle;
   uint64_t opened = 0;
 
-  /// Any byte or end on an idle connection makes it useless: an answer that
-  /// nobody asked for would be taken for the next request's.
+  /// Closes an idle connection that received bytes or was closed by the server.
+  /// An unsolicited response would otherwise be taken for that of the next
+  /// request.
   void Discard(const Address& address,
                const std::shared_ptr<ServerConnection>& connection) {
     connection->stream->Close();
@@ -98,7 +101,7 @@
     std::shared_ptr<ServerConnection> taken;
     auto& kept = found->second;
     while (!kept.empty() && taken == nullptr) {
-      // The one used last: the others grow old and are dropped.
+      // Most recently used first, so that surplus connections expire.
       taken = kept.back();
       kept.pop_back();
       if (taken->usable_until <= now || !taken->stream->is_open()) {
@@ -116,11 +119,11 @@
             const std::shared_ptr<ServerConnection>& connection,
             size_t max_kept,
             TimePoint now) {
-    const size_t most = std::min(max_idle, max_kept);
+    const size_t limit = std::min(max_idle, max_kept);
     auto& kept = idle[address];
     kept.push_back(connection);
     while (!kept.empty() &&
-           (kept.size() > most || kept.front()->usable_until <= now)) {
+           (kept.size() > limit || kept.front()->usable_until <= now)) {
       kept.front()->stream->Close();
       kept.pop_front();
     }
@@ -135,7 +138,7 @@
   std::shared_ptr<ServerConnection> connection;
   std::unique_ptr<Timer> timer;
   TimePoint last_byte;
-  uint64_t sent_before = 0;
+  uint64_t sent_at_start = 0;
   size_t max_kept = 0;
   std::string unsent_request;
   HttpHead head;
@@ -151,7 +154,7 @@
     const TimePoint now = MonotonicNow();
     connection = call.fresh_connection ? nullptr : pool->TakeIdle(address, now);
     if (connection != nullptr) {
-      sent_before = connection->stream->sent();
+      sent_at_start = connection->stream->sent();
       connection->call = this;
       SendRequest();
       return;
@@ -164,9 +167,9 @@
     connection = std::make_shared<ServerConnection>();
     connection->call = this;
     connection->stream = TcpStream::Connect(pool->loop, address);
-    connection->stream->SetDeadPeerTimeout(kServerHostTimeout);
-    // The connection outlives this call, so its callbacks find the call of the
-    // moment through it.
+    connection->stream->SetDeadPeerTimeout(kDeadServerTimeout);
+    // The connection can outlive this call, so its callbacks look up the
+    // current call through it.
     const std::weak_ptr<ServerConnection> weak = connection;
     connection->parser = std::make_unique<HttpMessageParser>(
         HttpMessageKind::kResponse, kMaxResponseHeaderBytes,
@@ -191,7 +194,7 @@
     connection->stream->Write(unsent_request);
     unsent_request.clear();
     if (idle_timeout > Duration(0)) {
-      WatchSilence(idle_timeout);
+      StartIdleTimer(idle_timeout);
     }
     const auto on_sent = events.on_sent;
     if (on_sent) {
@@ -199,19 +202,20 @@
     }
   }
 
-  void WatchSilence(Duration after) {
+  /// Fails the call once `idle_timeout` passes without a byte from the server.
+  void StartIdleTimer(Duration after) {
     timer = pool->loop.After(after, [this] {
-      const Duration silent = MonotonicNow() - last_byte;
-      if (silent >= idle_timeout) {
+      const Duration idle_time = MonotonicNow() - last_byte;
+      if (idle_time >= idle_timeout) {
         Fail();
       } else {
-        WatchSilence(idle_timeout - silent);
+        StartIdleTimer(idle_timeout - idle_time);
       }
     });
   }
 
-  /// Drops the connection: the rest of an answer could otherwise reach the next
-  /// call.
+  /// Closes the connection instead of returning it to the pool: the rest of the
+  /// response could otherwise reach the next call.
   void Drop() {
     timer.reset();
     if (connection != nullptr) {
@@ -221,13 +225,14 @@
     }
   }
 
+  /// Closes the connection and reports the failure, once.
   void Fail() {
     const std::shared_ptr<State> keep = shared_from_this();
     if (connection == nullptr) {
       return;
     }
     const bool may_have_left =
-        unsent_request.empty() && connection->stream->sent() > sent_before;
+        unsent_request.empty() && connection->stream->sent() > sent_at_start;
     Drop();
     const auto on_failure = std::move(events.on_failure);
     events = {};
@@ -236,23 +241,26 @@
     }
   }
 
-  /// The answer is whole: keeps the connection if another call may use it.
+  /// Completes the call and returns the connection to the pool if it is
+  /// reusable, which it is not after bytes beyond the end of the response.
   void Finish(bool trailing_bytes) {
     const std::shared_ptr<State> keep = shared_from_this();
     const TimePoint now = MonotonicNow();
     const auto used = connection;
     timer.reset();
-    const bool clean = head.keep_alive && !trailing_bytes &&
-                       used->stream->is_open() && used->stream->unsent() == 0;
+    const bool reusable = head.keep_alive && !trailing_bytes &&
+                          used->stream->is_open() &&
+                          used->stream->unsent() == 0;
     used->call = nullptr;
     connection = nullptr;
-    if (clean) {
+    if (reusable) {
       used->stream->SetReading(true);
-      const auto stated = StatedKeepAlive(head.headers);
+      const auto stated = ParseKeepAliveTimeout(head.headers);
       const Duration usable =
-          stated ? Duration(static_cast<int64_t>(
-                       kKeepAliveShare * static_cast<double>(stated->count())))
-                 : kUnstatedKeepAlive;
+          stated
+              ? Duration(static_cast<int64_t>(
+                    kKeepAliveFraction * static_cast<double>(stated->count())))
+              : kDefaultKeepAliveTimeout;
       used->usable_until = now + usable;
       pool->Keep(address, used, max_kept, now);
     } else {
@@ -273,9 +281,9 @@
     connection->call->SendRequest();
   }
 
-  /// The call that waits on the connection. Null: none does, and what came
-  /// makes the connection useless.
-  static std::shared_ptr<State> CallOf(
+  /// Returns the call that uses the connection. If there is none, discards the
+  /// connection, since an idle one must receive nothing, and returns null.
+  static std::shared_ptr<State> CurrentCall(
       const std::shared_ptr<ServerConnection>& connection,
       const std::weak_ptr<HttpClient::Pool>& owner,
       const Address& address) {
@@ -296,7 +304,7 @@
                       const Address& address,
                       std::string_view bytes) {
     const auto connection = weak.lock();
-    const std::shared_ptr<State> call = CallOf(connection, owner, address);
+    const std::shared_ptr<State> call = CurrentCall(connection, owner, address);
     if (call == nullptr) {
       return;
     }
@@ -320,12 +328,12 @@
                           const Address& address,
                           StreamEnd end) {
     const auto connection = weak.lock();
-    const std::shared_ptr<State> call = CallOf(connection, owner, address);
+    const std::shared_ptr<State> call = CurrentCall(connection, owner, address);
     if (call == nullptr) {
       return;
     }
-    // A body without length is whole only if its connection ended in order; one
-    // that was reset may lack its end.
+    // A body without a stated length is complete only if the connection was
+    // closed in an orderly way; after a reset its end may be missing.
     if (end == StreamEnd::kClosed && call->head.ends_with_connection) {
       connection->parser->PushEnd();
     }
@@ -351,7 +359,7 @@
     if (read.status < kFirstFinalStatus) {
       return has_body;
     }
-    // A copy: the callback may end the call, which clears the events.
+    // Calls a copy, as the callback may end the call, which clears `events`.
     const auto on_head = call->events.on_head;
     if (on_head) {
       on_head(read.status, read.headers);
@@ -376,7 +384,7 @@
     if (connection == nullptr || connection->call == nullptr) {
       return;
     }
-    // An interim answer is followed by the one that counts.
+    // An interim (1xx) response is followed by the final one.
     connection->call->complete =
         connection->call->head.status >= kFirstFinalStatus;
   }
--- a/source/http_server.cc
+++ b/source/http_server.cc
@@ -33,17 +33,20 @@
     {HttpMethod::kDelete, "DELETE"},
 });
 
-/// Bytes that are kept of requests which a caller sends before the answer to
-/// the present one; beyond them its connection is read no further.
+/// Maximum bytes buffered of pipelined requests, which a caller sends before
+/// the response to the current one; beyond it, reading from the connection
+/// pauses.
 constexpr size_t kMaxPipelinedBytes = 64 * 1024;
-/// How often deadlines of idle connections are looked at.
+/// Interval between checks of the timeouts of all connections.
 constexpr Duration kSweepInterval = Milliseconds(250);
-/// A caller has this long to read the last answer and close its side. Closing
-/// first with its bytes unread would reset the connection under the answer.
-constexpr Duration kLingerLimit = Seconds(2);
-constexpr int kListenQueue = 1024;
-/// Silence of a caller's host after which its connection counts as broken.
-constexpr Duration kCallerHostTimeout = Seconds(10);
+/// Time for the caller to read the last response and close its side. If this
+/// side closed first while received bytes are unread, the kernel would reset
+/// the connection and the caller could lose the response.
+constexpr Duration kLingerTimeout = Seconds(2);
+constexpr int kListenBacklog = 1024;
+/// Time without an acknowledgement from the caller's host after which its
+/// connection fails.
+constexpr Duration kDeadCallerTimeout = Seconds(10);
 
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
@@ -85,7 +88,7 @@
   uint64_t unread_dropped = 0;
 };
 
-/// One caller's connection. Requests on it are dealt with one after the other.
+/// A caller's connection. Its requests are processed one at a time.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
   HttpConnection(std::shared_ptr<HttpServer::Shared> server,
@@ -97,13 +100,13 @@
                  {[this](const HttpHead& head) { return OnHead(head); },
                   [this](std::string_view bytes) { OnBody(bytes); },
                   [this] { m_complete = true; }}),
-        m_quiet_since(MonotonicNow()) {}
+        m_idle_since(MonotonicNow()) {}
 
   void Start() {
-    m_stream->SetDeadPeerTimeout(kCallerHostTimeout);
+    m_stream->SetDeadPeerTimeout(kDeadCallerTimeout);
     m_stream->Start({{},
                      [this](std::string_view bytes) { OnBytes(bytes); },
-                     [this](StreamEnd) { Gone(); },
+                     [this](StreamEnd) { OnDisconnected(); },
                      {}});
   }
 
@@ -113,10 +116,11 @@
 
   bool closes_after_answer() const { return m_server->close_after_answers; }
 
-  /// The present answer is written.
+  /// The current response was written. Continues with the next request, or
+  /// closes the connection unless `keep_open`.
   void AnswerEnded(bool keep_open) {
     m_exchange.reset();
-    m_quiet_since = MonotonicNow();
+    m_idle_since = MonotonicNow();
     if (!keep_open) {
       Linger();
       return;
@@ -127,50 +131,54 @@
     }
   }
 
-  /// Closes after what was written has left.
+  /// Closes the sending side once the written bytes are sent, then discards
+  /// input until the caller closes its side or kLingerTimeout passes.
   void Linger() {
     m_lingering = true;
-    m_quiet_since = MonotonicNow();
+    m_idle_since = MonotonicNow();
     m_input.clear();
     m_stream->SetReading(true);
     m_stream->ShutDown();
   }
 
-  /// Names the connection while it is open.
+  /// Identifies the connection while it is open.
   uint64_t id() const { return reinterpret_cast<uintptr_t>(this); }
 
-  /// How long the caller has taken nothing of what waits for it.
+  /// Time since a byte was last sent; 0 if none is waiting. Updated by
+  /// CheckTimeouts(), so exact to kSweepInterval.
   Duration UnreadFor(TimePoint now) const {
-    return m_stream->unsent() == 0 || m_stream->sent() != m_taken
+    return m_stream->unsent() == 0 || m_stream->sent() != m_last_sent
                ? Duration(0)
-               : now - m_taken_at;
+               : now - m_last_progress;
   }
 
   size_t request_bytes() const {
     const auto body = [](const std::shared_ptr<HttpExchange>& exchange) {
       return exchange == nullptr ? 0 : exchange->body().size();
     };
-    return m_input.size() + body(m_reading) + body(m_exchange);
+    return m_input.size() + body(m_incoming) + body(m_exchange);
   }
 
-  void LetGo() {
+  /// Closes the connection because the caller does not read its response.
+  void DropSlowReader() {
     ++m_server->unread_dropped;
-    Gone();
+    OnDisconnected();
   }
 
+  /// Applies the timeouts of HttpServerLimits; called every kSweepInterval.
   void CheckTimeouts(TimePoint now) {
-    if (m_stream->unsent() == 0 || m_stream->sent() != m_taken) {
-      m_taken = m_stream->sent();
-      m_taken_at = now;
+    if (m_stream->unsent() == 0 || m_stream->sent() != m_last_sent) {
+      m_last_sent = m_stream->sent();
+      m_last_progress = now;
     }
     if (UnreadFor(now) > m_server->limits.unread_timeout) {
-      LetGo();
+      DropSlowReader();
       return;
     }
-    const Duration quiet = now - m_quiet_since;
+    const Duration idle = now - m_idle_since;
     if (m_lingering) {
-      if (quiet > kLingerLimit) {
-        Gone();
+      if (idle > kLingerTimeout) {
+        OnDisconnected();
       }
       return;
     }
@@ -178,13 +186,13 @@
       return;
     }
     if (!m_parser.at_start()) {
-      if (quiet > m_server->limits.header_timeout) {
+      if (idle > m_server->limits.header_timeout) {
         Refuse(kRequestTimeout);
       }
       return;
     }
-    if (quiet > m_server->limits.idle_timeout) {
-      Gone();
+    if (idle > m_server->limits.idle_timeout) {
+      OnDisconnected();
     }
   }
 
@@ -224,7 +232,7 @@
   void Push(std::string_view bytes) {
     while (!bytes.empty() && m_exchange == nullptr && !m_lingering) {
       if (m_parser.at_start()) {
-        m_quiet_since = MonotonicNow();
+        m_idle_since = MonotonicNow();
       }
       const size_t taken = m_parser.Push(bytes);
       bytes.remove_prefix(std::min(taken, bytes.size()));
@@ -245,7 +253,7 @@
   }
 
   bool OnHead(const HttpHead& head) {
-    m_reading = std::make_shared<HttpExchange>(weak_from_this(), head);
+    m_incoming = std::make_shared<HttpExchange>(weak_from_this(), head);
     if (EqualHeaderNames(FindHeader(head.headers, "Expect"), "100-continue")) {
       m_stream->Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
@@ -253,29 +261,29 @@
   }
 
   void OnBody(std::string_view bytes) {
-    if (m_reading == nullptr) {
+    if (m_incoming == nullptr) {
       return;
     }
-    if (m_reading->m_body.size() + bytes.size() >
+    if (m_incoming->m_body.size() + bytes.size() >
         m_server->limits.max_body_bytes) {
-      m_reading.reset();
+      m_incoming.reset();
       Refuse(kBodyTooLarge);
       return;
     }
-    m_reading->m_body.append(bytes);
+    m_incoming->m_body.append(bytes);
   }
 
   void Dispatch() {
-    if (m_reading == nullptr) {
+    if (m_incoming == nullptr) {
       return;
     }
-    m_exchange = std::move(m_reading);
-    m_reading = nullptr;
+    m_exchange = std::move(m_incoming);
+    m_incoming = nullptr;
     m_server->handler(m_exchange);
   }
 
-  /// A request that cannot be read: the answer ends the connection, since
-  /// nobody knows where the next request would begin.
+  /// Rejects a malformed, oversized or late request and closes the connection,
+  /// since the start of the next request is unknown.
   void Refuse(int status) {
     m_stream->Write("HTTP/1.1 " + std::to_string(status) +
                     " Refused\r\nConnection: close\r\nContent-Length: "
@@ -283,31 +291,34 @@
     Linger();
   }
 
-  void Gone() {
+  void OnDisconnected() {
     const auto keep = shared_from_this();
     m_stream->Close();
     m_server->connections.erase(keep);
     if (m_exchange != nullptr) {
       const auto exchange = std::move(m_exchange);
       m_exchange = nullptr;
-      exchange->CallerGone();
+      exchange->NotifyCallerDisconnected();
     }
   }
 
   std::shared_ptr<HttpServer::Shared> m_server;
   std::shared_ptr<TcpStream> m_stream;
   HttpMessageParser m_parser;
-  /// The request whose bytes are being read, and the one being answered.
-  std::shared_ptr<HttpExchange> m_reading;
+  /// The request being received, and the one being processed.
+  std::shared_ptr<HttpExchange> m_incoming;
   std::shared_ptr<HttpExchange> m_exchange;
   std::string m_input;
   bool m_complete = false;
   bool m_lingering = false;
-  /// Bytes that the caller had taken when that last changed, and when.
-  uint64_t m_taken = 0;
-  TimePoint m_taken_at = MonotonicNow();
-  /// Since when the connection waits for the caller.
-  TimePoint m_quiet_since;
+  /// Bytes sent, and the time, when progress was last seen or nothing was
+  /// waiting to be sent.
+  uint64_t m_last_sent = 0;
+  TimePoint m_last_progress = MonotonicNow();
+  /// Start of the idle, header and linger timeouts: the accept, the first byte
+  /// of the current request, the end of the last response or the start of
+  /// lingering.
+  TimePoint m_idle_since;
 };
 
 HttpExchange::HttpExchange(std::weak_ptr<HttpConnection> connection,
@@ -381,7 +392,7 @@
   }
   connection->Write(text);
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(keep);
 }
 
@@ -420,7 +431,7 @@
     connection->Write("0\r\n\r\n");
   }
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(m_keep_alive);
 }
 
@@ -430,7 +441,7 @@
     return;
   }
   m_ended = true;
-  m_on_gone = nullptr;
+  m_on_disconnected = nullptr;
   connection->AnswerEnded(false);
 }
 
@@ -439,14 +450,14 @@
   return connection == nullptr ? 0 : connection->unsent();
 }
 
-void HttpExchange::OnCallerGone(std::function<void()> action) {
-  m_on_gone = std::move(action);
+void HttpExchange::OnCallerDisconnected(std::function<void()> action) {
+  m_on_disconnected = std::move(action);
 }
 
-void HttpExchange::CallerGone() {
+void HttpExchange::NotifyCallerDisconnected() {
   m_ended = true;
-  const auto action = std::move(m_on_gone);
-  m_on_gone = nullptr;
+  const auto action = std::move(m_on_disconnected);
+  m_on_disconnected = nullptr;
   if (action) {
     action();
   }
@@ -476,12 +487,13 @@
     listener = evconnlistener_new_bind(
         m_loop.base(), &HttpServer::OnAccept, this,
         LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
-        kListenQueue, reinterpret_cast<const sockaddr*>(&at), sizeof(at));
+        kListenBacklog, reinterpret_cast<const sockaddr*>(&at), sizeof(at));
   }
   if (listener == nullptr) {
-    return Fail(ResultCode::kSettingsInvalid,
-                "cannot listen on " + address.ToString() +
-                    "; the address must be this host's and free.");
+    return Fail(
+        ResultCode::kSettingsInvalid,
+        "cannot listen on " + address.ToString() +
+            "; the address must belong to this host and not be in use.");
   }
   m_listeners.push_back(listener);
   if (m_sweep_timer == nullptr) {
@@ -534,7 +546,7 @@
 void HttpServer::Drop(uint64_t connection) {
   for (const auto& open : m_shared->connections) {
     if (open->id() == connection) {
-      open->LetGo();
+      open->DropSlowReader();
       return;
     }
   }
@@ -554,7 +566,8 @@
 
 void HttpServer::Sweep() {
   const TimePoint now = MonotonicNow();
-  // A copy: a connection that times out leaves the set.
+  // Iterates over a copy, as a connection that times out is removed from the
+  // set.
   const auto connections = m_shared->connections;
   for (const auto& connection : connections) {
     connection->CheckTimeouts(now);
--- a/source/main_filbertctl.cc
+++ b/source/main_filbertctl.cc
@@ -1,4 +1,4 @@
-/// filbertctl: the operator's command.
+/// filbertctl: the operator's command-line tool.
 
 #include <algorithm>
 #include <cstdio>
@@ -29,15 +29,15 @@
   bool wait = false;
   int64_t wait_seconds = 10;
   uint64_t generation = 0;
-  size_t most = 20;
+  size_t max_rows = 20;
   bool explain = false;
   std::string request;
   std::vector<std::string> logs;
-  AccountPolicy account;
+  LossReportPolicy account;
   double window_seconds = 2;
 };
 
-int Report(const Error& error) {
+int ReportError(const Error& error) {
   std::fprintf(stderr, "filbertctl: %s\n", error.message.c_str());
   return static_cast<int>(error.code);
 }
@@ -71,7 +71,7 @@
     std::cout << row << "\n";
   }
   if (result.changed.empty()) {
-    std::cout << "nothing differs\n";
+    std::cout << "no changes\n";
   } else {
     std::cout << verb << ": generation " << result.generation << "\n";
   }
@@ -82,12 +82,12 @@
              const CommandLine& line) {
   const Result<Json> change = ReadChange(line.file);
   if (!change) {
-    return Report(change.error());
+    return ReportError(change.error());
   }
   if (line.dry_run) {
     const Result<ChangeResult> preview = client.Preview(*change);
     if (!preview) {
-      return Report(preview.error());
+      return ReportError(preview.error());
     }
     PrintChange(*preview, "would become", line);
     return 0;
@@ -95,14 +95,14 @@
   const Result<ChangeResult> applied = client.Apply(
       {*change, settings.Text("operator", "name"), line.reason, WallTimeMs()});
   if (!applied) {
-    return Report(applied.error());
+    return ReportError(applied.error());
   }
   PrintChange(*applied, "accepted", line);
   if (line.wait && !applied->changed.empty()) {
     const Result<bool> in_force =
         client.WaitInForce(applied->generation, Seconds(line.wait_seconds));
     if (!in_force) {
-      return Report(in_force.error());
+      return ReportError(in_force.error());
     }
     if (!line.json) {
       std::cout << "in force on every entry host\n";
@@ -114,7 +114,7 @@
 int RunGet(OperatorClient& client) {
   const Result<StoredConfig> config = client.ReadConfig();
   if (!config) {
-    return Report(config.error());
+    return ReportError(config.error());
   }
   std::cout << config->set.resources.dump(2) << "\n";
   return 0;
@@ -123,13 +123,14 @@
 int RunWait(OperatorClient& client, const CommandLine& line) {
   const Result<bool> in_force =
       client.WaitInForce(line.generation, Seconds(line.wait_seconds));
-  return in_force ? 0 : Report(in_force.error());
+  return in_force ? 0 : ReportError(in_force.error());
 }
 
 int RunHistory(OperatorClient& client, const CommandLine& line) {
-  const Result<std::vector<ChangeRecord>> records = client.History(line.most);
+  const Result<std::vector<ChangeRecord>> records =
+      client.History(line.max_rows);
   if (!records) {
-    return Report(records.error());
+    return ReportError(records.error());
   }
   for (const ChangeRecord& record : *records) {
     if (line.json) {
@@ -213,7 +214,7 @@
 int RunStatus(OperatorClient& client, const CommandLine& line) {
   const Result<std::vector<DomainReport>> reports = client.ReadDomains();
   if (!reports) {
-    return Report(reports.error());
+    return ReportError(reports.error());
   }
   for (const DomainReport& report : *reports) {
     PrintDomain(report, line);
@@ -221,7 +222,7 @@
       PrintDecisions(report, line.json);
     }
   }
-  for (const EntryHostReport& host : client.AskEntryHosts()) {
+  for (const EntryHostReport& host : client.QueryEntryHosts()) {
     if (line.json) {
       std::cout << Json({{"entry_host", host.address.ToString()},
                          {"reachable", host.reachable},
@@ -247,7 +248,7 @@
   }
   const Result<std::vector<DomainReport>> reports = client.ReadDomains();
   if (!reports) {
-    return Report(reports.error());
+    return ReportError(reports.error());
   }
   for (const DomainReport& report : *reports) {
     if (!line.json) {
@@ -260,7 +261,7 @@
 
 Result<std::vector<RequestLogLine>> ReadLogs(
     const std::vector<std::string>& paths) {
-  std::vector<RequestLogLine> trail;
+  std::vector<RequestLogLine> log_lines;
   for (const std::string& path : paths) {
     std::ifstream stream(path);
     if (!stream) {
@@ -268,64 +269,64 @@
                   "The file '" + path + "' cannot be read.");
     }
     for (RequestLogLine& row : ReadRequestLog(stream)) {
-      trail.push_back(std::move(row));
+      log_lines.push_back(std::move(row));
     }
   }
-  return trail;
+  return log_lines;
 }
 
 int RunExplain(const CommandLine& line) {
-  const Result<std::vector<RequestLogLine>> trail = ReadLogs(line.logs);
-  if (!trail) {
-    return Report(trail.error());
+  const Result<std::vector<RequestLogLine>> log_lines = ReadLogs(line.logs);
+  if (!log_lines) {
+    return ReportError(log_lines.error());
   }
-  const Explanation told = ExplainRequest(*trail, line.request);
+  const Explanation explanation = ExplainRequest(*log_lines, line.request);
   if (line.json) {
     Json lines = Json::array();
-    for (const RequestLogLine& row : told.lines) {
+    for (const RequestLogLine& row : explanation.lines) {
       lines.push_back(row.fields);
     }
     std::cout << Json({{"event", "explained"},
                        {"request", line.request},
-                       {"cause", told.cause},
+                       {"cause", explanation.cause},
                        {"lines", lines}})
                      .dump()
               << "\n";
     return 0;
   }
-  for (const RequestLogLine& row : told.lines) {
+  for (const RequestLogLine& row : explanation.lines) {
     std::cout << FormatRequestLogLine(row) << "\n";
   }
-  if (!told.context.empty()) {
-    std::cout << "around it:\n";
+  if (!explanation.context.empty()) {
+    std::cout << "related lines:\n";
   }
-  for (const RequestLogLine& row : told.context) {
+  for (const RequestLogLine& row : explanation.context) {
     std::cout << "  " << FormatRequestLogLine(row) << "\n";
   }
-  std::cout << told.cause << "\n";
+  std::cout << explanation.cause << "\n";
   return 0;
 }
 
 void PrintLosses(std::string_view title,
                  std::span<const LossRow> rows,
                  std::string LossRow::*field,
-                 const LossAccount& account) {
+                 const LossReport& account) {
   std::printf("%.*s\n", static_cast<int>(title.size()), title.data());
   std::printf("  %8s %7s %9s %8s %8s\n", "lost", "share", "requests", "age ms",
               "pred. ms");
   for (const LossRow& row : SumLosses(rows, field)) {
     std::printf("  %8.1f %7.4f %9d %8.0f %8.0f  %s\n", row.lost,
-                row.lost / std::max(1, account.asked), row.requests,
+                row.lost / std::max(1, account.total_requests), row.requests,
                 row.loads_age_ms, row.predicted_ms, (row.*field).c_str());
   }
 }
 
-/// The worst windows, each with its causes.
-void PrintWindows(const LossAccount& account, size_t most) {
+/// Prints the `max_rows` windows with the largest losses, each by cause.
+void PrintWindows(const LossReport& account, size_t max_rows) {
   std::map<int64_t, std::vector<LossRow>> windows;
   std::vector<std::pair<double, int64_t>> order;
   for (const LossRow& row : account.rows) {
-    windows[row.window_ms].push_back(row);
+    windows[row.window_start_ms].push_back(row);
   }
   for (const auto& [start, rows] : windows) {
     double lost = 0;
@@ -335,7 +336,7 @@
     order.emplace_back(-lost, start);
   }
   std::sort(order.begin(), order.end());
-  order.resize(std::min(order.size(), most));
+  order.resize(std::min(order.size(), max_rows));
   for (const auto& [lost, start] : order) {
     PrintLosses("from second " + std::to_string(start / 1000), windows[start],
                 &LossRow::cause, account);
@@ -343,20 +344,20 @@
 }
 
 int RunAccount(const CommandLine& line) {
-  const Result<std::vector<RequestLogLine>> trail = ReadLogs(line.logs);
-  if (!trail) {
-    return Report(trail.error());
+  const Result<std::vector<RequestLogLine>> log_lines = ReadLogs(line.logs);
+  if (!log_lines) {
+    return ReportError(log_lines.error());
   }
-  AccountPolicy policy = line.account;
+  LossReportPolicy policy = line.account;
   policy.window_ms = static_cast<int64_t>(line.window_seconds * 1000);
-  const LossAccount account = AccountLosses(*trail, policy);
+  const LossReport account = AttributeLosses(*log_lines, policy);
   if (line.json) {
     for (const LossRow& row : account.rows) {
       std::cout << Json({{"event", "loss"},
                          {"cause", row.cause},
                          {"route", row.route},
                          {"model", row.model},
-                         {"window_ms", row.window_ms},
+                         {"window_ms", row.window_start_ms},
                          {"requests", row.requests},
                          {"lost", row.lost},
                          {"loads_age_ms", row.loads_age_ms},
@@ -366,12 +367,12 @@
     }
     return 0;
   }
-  std::printf("asked %d, on time %d, lost %.1f\n", account.asked,
+  std::printf("asked %d, on time %d, lost %.1f\n", account.total_requests,
               account.on_time, account.lost);
   PrintLosses("by cause", account.rows, &LossRow::cause, account);
   PrintLosses("by model", account.rows, &LossRow::model, account);
   PrintLosses("by route", account.rows, &LossRow::route, account);
-  PrintWindows(account, line.most);
+  PrintWindows(account, line.max_rows);
   return 0;
 }
 
@@ -383,13 +384,14 @@
     return RunAccount(line);
   }
   if (line.settings_path.empty()) {
-    return Report(Error{ResultCode::kUsage, "The command '" + command +
-                                                "' needs --settings FILE."});
+    return ReportError(
+        Error{ResultCode::kUsage,
+              "The command '" + command + "' needs --settings FILE."});
   }
   const Result<Settings> settings =
       OperatorSchema().ReadFile(line.settings_path);
   if (!settings) {
-    return Report(settings.error());
+    return ReportError(settings.error());
   }
   OperatorClient client(*settings);
   if (command == "apply") {
@@ -411,49 +413,64 @@
 }
 
 void DeclareCommands(CLI::App& app, CommandLine& line) {
-  app.add_option("-s,--settings", line.settings_path,
-                 "The INI settings file; all commands but explain and account "
-                 "need it.");
+  app.add_option(
+      "-s,--settings", line.settings_path,
+      "INI settings file; required by all commands except explain and "
+      "account.");
   app.add_flag("--json", line.json, "Print JSON lines.");
-  CLI::App* apply = app.add_subcommand("apply", "Apply a change as a whole.");
-  apply->add_option("-f,--file", line.file, "JSON file with the change.")
+  CLI::App* apply = app.add_subcommand("apply", "Apply a change atomically.");
+  apply
+      ->add_option("-f,--file", line.file,
+                   "JSON file that contains the change.")
       ->required();
-  apply->add_option("--reason", line.reason, "Why; shown by history.");
-  apply->add_flag("--dry-run", line.dry_run, "Only show what would differ.");
-  apply->add_flag("--wait", line.wait, "Wait until it is in force.");
-  apply->add_option("--seconds", line.wait_seconds, "Longest wait.");
+  apply->add_option("--reason", line.reason,
+                    "Reason for the change; shown by history.");
+  apply->add_flag("--dry-run", line.dry_run,
+                  "Show the differences without applying them.");
+  apply->add_flag("--wait", line.wait,
+                  "Wait until the change is in force on every entry host.");
+  apply->add_option("--seconds", line.wait_seconds,
+                    "Maximum wait, in seconds.");
   app.add_subcommand("get", "Print the declared resources.");
-  CLI::App* wait =
-      app.add_subcommand("wait", "Wait until a generation is in force.");
-  wait->add_option("generation", line.generation, "The generation.")
+  CLI::App* wait = app.add_subcommand(
+      "wait", "Wait until a generation is in force on every entry host.");
+  wait->add_option(
+          "generation", line.generation,
+          "Configuration generation to wait for; later ones count too.")
       ->required();
-  wait->add_option("--seconds", line.wait_seconds, "Longest wait.");
+  wait->add_option("--seconds", line.wait_seconds, "Maximum wait, in seconds.");
   CLI::App* history = app.add_subcommand("history", "List accepted changes.");
-  history->add_option("--most", line.most, "So many, newest first.");
+  history->add_option("--most", line.max_rows,
+                      "Maximum number of changes, newest first.");
   CLI::App* status =
       app.add_subcommand("status", "Show domains, groups and entry hosts.");
-  status->add_flag("--explain", line.explain, "Show why groups changed.");
-  app.add_subcommand("audit", "Show changes by operators and by the fleet.");
+  status->add_flag("--explain", line.explain,
+                   "Also show the controllers' group decisions.");
+  app.add_subcommand(
+      "audit", "Show operators' changes and the controllers' group decisions.");
   CLI::App* explain = app.add_subcommand(
-      "explain", "Tell from log files what happened to a request, and why.");
-  explain->add_option("request", line.request, "The request's id.")->required();
+      "explain", "Explain from log files what happened to a request, and why.");
+  explain->add_option("request", line.request, "Request id.")->required();
   explain->add_option("files", line.logs, "Log files of the entry hosts.")
       ->required();
   CLI::App* account = app.add_subcommand(
-      "account", "Add up from log files what callers did not get on time.");
+      "account",
+      "Report from log files the requests not answered on time, by cause.");
   account->add_option("files", line.logs, "Log files of all entry hosts.")
       ->required();
   account
       ->add_option("--late", line.account.late_share,
-                   "What a late answer keeps of its worth.")
+                   "Value of a late answer as a fraction of one on time.")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
   account
       ->add_option("--window", line.window_seconds,
-                   "Length of a row in time, in seconds.")
+                   "Length of a time window, in seconds.")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
-  account->add_option("--most", line.most, "So many windows, the worst first.")
+  account
+      ->add_option("--most", line.max_rows,
+                   "Maximum number of windows, worst first.")
       ->capture_default_str();
   app.require_subcommand(1);
 }
@@ -462,7 +479,9 @@
 }  // namespace filbertrack
 
 int main(int argc, char** argv) {
-  CLI::App app("Changes and shows what filbertrack serves.", "filbertctl");
+  CLI::App app(
+      "Changes the configuration and shows the state of a filbertrack fleet.",
+      "filbertctl");
   filbertrack::CommandLine line;
   app.set_version_flag("--version", "filbertctl " FILBERTRACK_VERSION);
   filbertrack::DeclareCommands(app, line);
--- a/source/settings.cc
+++ b/source/settings.cc
@@ -35,8 +35,8 @@
     {"h", Seconds(3600)},
 });
 
-/// Reads the text with Boost.PropertyTree. (inih, which was used first, cuts
-/// lines at 200 bytes, so that a list of twelve addresses broke in the middle.)
+/// Parses INI text with Boost.PropertyTree. inih is not suitable: it splits
+/// lines at 200 bytes, which breaks a list of twelve addresses.
 Result<std::vector<IniEntry>> ReadIni(const std::string& text,
                                       const std::string& origin) {
   boost::property_tree::ptree tree;
@@ -46,7 +46,7 @@
   } catch (const boost::property_tree::ini_parser_error& error) {
     return Fail(ResultCode::kSettingsInvalid,
                 "Line " + std::to_string(error.line()) + " of '" + origin +
-                    "' cannot be read: " + error.message() + ".");
+                    "' is not valid INI: " + error.message() + ".");
   }
   std::vector<IniEntry> entries;
   for (const auto& [section, keys] : tree) {
@@ -75,7 +75,7 @@
 bool ParseDuration(std::string_view text, Duration* value) {
   const size_t digits = text.find_first_not_of("0123456789.");
   double count = 0;
-  // More than nine digits of hours would pass the range of microseconds.
+  // Below 1e9, a count of hours still fits into int64_t microseconds.
   if (digits == std::string_view::npos ||
       !ParseNumber(text.substr(0, digits), &count) || count >= 1e9) {
     return false;
@@ -118,19 +118,20 @@
   return text.str();
 }
 
-/// Says what a key accepts, in words for errors and help.
+/// Describes the values that a key accepts, for errors and --help-settings.
 struct AllowedText {
   std::string operator()(const IntegerKey& type) const {
-    return "an integer from " + std::to_string(type.lowest) + " to " +
-           std::to_string(type.highest);
+    return "an integer from " + std::to_string(type.min_value) + " to " +
+           std::to_string(type.max_value);
   }
   std::string operator()(const NumberKey& type) const {
-    return "a number from " + FormatNumber(type.lowest) + " to " +
-           FormatNumber(type.highest);
+    return "a number from " + FormatNumber(type.min_value) + " to " +
+           FormatNumber(type.max_value);
   }
   std::string operator()(const DurationKey& type) const {
     return "a duration with a unit (us, ms, s, m, h) from " +
-           FormatDuration(type.lowest) + " to " + FormatDuration(type.highest);
+           FormatDuration(type.min_value) + " to " +
+           FormatDuration(type.max_value);
   }
   std::string operator()(const TextKey& type) const {
     if (type.min_bytes > 0) {
@@ -153,15 +154,16 @@
   }
 };
 
-/// Turns the text of a value into its type; false where it is not allowed.
+/// Converts text to a value of the key's type. Returns false if the text is
+/// malformed or the value is not allowed.
 struct ValueReader {
   const std::string& text;
   Settings::Value* value;
 
   bool operator()(const IntegerKey& type) const {
     int64_t number = 0;
-    if (!ParseInteger(text, &number) || number < type.lowest ||
-        number > type.highest) {
+    if (!ParseInteger(text, &number) || number < type.min_value ||
+        number > type.max_value) {
       return false;
     }
     *value = number;
@@ -169,8 +171,8 @@
   }
   bool operator()(const NumberKey& type) const {
     double number = 0;
-    if (!ParseNumber(text, &number) || !(number >= type.lowest) ||
-        !(number <= type.highest)) {
+    if (!ParseNumber(text, &number) || !(number >= type.min_value) ||
+        !(number <= type.max_value)) {
       return false;
     }
     *value = number;
@@ -178,8 +180,8 @@
   }
   bool operator()(const DurationKey& type) const {
     Duration duration{};
-    if (!ParseDuration(text, &duration) || duration < type.lowest ||
-        duration > type.highest) {
+    if (!ParseDuration(text, &duration) || duration < type.min_value ||
+        duration > type.max_value) {
       return false;
     }
     *value = duration;
@@ -215,28 +217,28 @@
   }
 };
 
-/// The value of a key that the file does not name; false where it must be.
-struct FallbackReader {
+/// Provides the default value of a key. Returns false if the key is required.
+struct DefaultValueReader {
   Settings::Value* value;
 
   bool operator()(const IntegerKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const NumberKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const DurationKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return true;
   }
   bool operator()(const TextKey& type) const {
-    *value = type.fallback;
+    *value = type.default_value;
     return !type.required;
   }
   bool operator()(const AddressKey& type) const {
-    const std::string& text = type.fallback;
+    const std::string& text = type.default_value;
     return !text.empty() && ValueReader{text, value}(type);
   }
   bool operator()(const AddressListKey&) const {
@@ -245,21 +247,22 @@
   }
 };
 
-struct FallbackText {
+/// Formats the default value of a key for --help-settings.
+struct DefaultValueText {
   std::string operator()(const IntegerKey& type) const {
-    return std::to_string(type.fallback);
+    return std::to_string(type.default_value);
   }
   std::string operator()(const NumberKey& type) const {
-    return FormatNumber(type.fallback);
+    return FormatNumber(type.default_value);
   }
   std::string operator()(const DurationKey& type) const {
-    return FormatDuration(type.fallback);
+    return FormatDuration(type.default_value);
   }
   std::string operator()(const TextKey& type) const {
-    return type.required ? "required" : "\"" + type.fallback + "\"";
+    return type.required ? "required" : "\"" + type.default_value + "\"";
   }
   std::string operator()(const AddressKey& type) const {
-    return type.fallback.empty() ? "required" : type.fallback;
+    return type.default_value.empty() ? "required" : type.default_value;
   }
   std::string operator()(const AddressListKey&) const { return "empty"; }
 };
@@ -341,9 +344,9 @@
   }
   const std::vector<IniEntry>& entries = *read;
   Settings settings;
-  for (const KeyRow& row : m_rows) {
+  for (const SettingsKey& row : m_rows) {
     Settings::Value value;
-    if (std::visit(FallbackReader{&value}, row.type)) {
+    if (std::visit(DefaultValueReader{&value}, row.type)) {
       settings.Put(row.section, row.key, std::move(value));
       continue;
     }
@@ -384,10 +387,10 @@
 
 std::string SettingsSchema::Describe() const {
   std::string text;
-  for (const KeyRow& row : m_rows) {
+  for (const SettingsKey& row : m_rows) {
     text += "[" + row.section + "] " + row.key + ": " + row.meaning +
             " Allowed: " + std::visit(AllowedText{}, row.type) +
-            ". Default: " + std::visit(FallbackText{}, row.type) + ".\n";
+            ". Default: " + std::visit(DefaultValueText{}, row.type) + ".\n";
   }
   return text;
 }
--- a/standins/standin_engine.cc
+++ b/standins/standin_engine.cc
@@ -1,7 +1,7 @@
 /// Stand-in for one member of a model engine's group, or for a plain service.
-/// It obeys orders to join and leave groups, loads weights, writes its state to
-/// standing responses, and streams tokens that depend only on the prompt, so
-/// that a caller can check every answer.
+/// It executes orders to join and leave groups, loads weights, streams its
+/// state in heartbeat responses, and generates tokens that depend only on the
+/// prompt, so that a caller can verify every response.
 
 #include <cstdio>
 #include <deque>
@@ -24,7 +24,7 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kReportLag = Milliseconds(500);
+constexpr Duration kReportInterval = Milliseconds(500);
 
 struct EngineOptions {
   std::string listen = "127.0.0.1:0";
@@ -42,7 +42,7 @@
   bool history = false;
 };
 
-/// A request being answered.
+/// A queued or running request.
 struct Generation {
   std::shared_ptr<HttpExchange> exchange;
   std::string request_id;
@@ -55,7 +55,7 @@
   std::unique_ptr<Timer> timer;
 };
 
-struct Watcher {
+struct Subscriber {
   std::shared_ptr<HttpExchange> exchange;
   std::unique_ptr<Timer> timer;
   std::string last_report;
@@ -77,16 +77,16 @@
     m_report.slots = options.slots;
     m_report.prefill = Milliseconds(options.prefill_ms);
     m_report.token_interval = Milliseconds(options.token_ms);
-    m_lagged = m_report;
-    m_lag_timer = loop.Every(kReportLag, [this] { PublishReport(); });
+    m_delayed_report = m_report;
+    m_report_timer = loop.Every(kReportInterval, [this] { PublishReport(); });
   }
 
   void Handle(const std::shared_ptr<HttpExchange>& exchange) {
     const std::string_view path = exchange->path();
     if (path == "/v1/beats") {
-      StartBeats(exchange);
+      StartHeartbeats(exchange);
     } else if (path == "/v1/orders") {
-      Obey(*exchange);
+      HandleOrder(*exchange);
     } else if (path == "/v1/executions") {
       exchange->Reply(200, {}, Json(m_executions).dump());
     } else if (path == "/v1/stats") {
@@ -106,52 +106,54 @@
   }
 
  private:
-  /// Load and cached prefixes lag; what group the engine is in does not.
+  /// Updates the load and the cached prefixes of the reports. They lag by up to
+  /// kReportInterval; group and phase are always current.
   void PublishReport() {
-    m_lagged.running = static_cast<int>(m_running.size());
-    m_lagged.queued = static_cast<int>(m_queue.size());
-    m_lagged.cached_prefixes.assign(m_cache.begin(), m_cache.end());
+    m_delayed_report.running = static_cast<int>(m_running.size());
+    m_delayed_report.queued = static_cast<int>(m_queue.size());
+    m_delayed_report.cached_prefixes.assign(m_cache.begin(), m_cache.end());
   }
 
   MemberReport CurrentReport() const {
     MemberReport report = m_report;
-    report.running = m_lagged.running;
-    report.queued = m_lagged.queued;
-    report.cached_prefixes = m_lagged.cached_prefixes;
+    report.running = m_delayed_report.running;
+    report.queued = m_delayed_report.queued;
+    report.cached_prefixes = m_delayed_report.cached_prefixes;
     return report;
   }
 
-  void StartBeats(const std::shared_ptr<HttpExchange>& exchange) {
+  void StartHeartbeats(const std::shared_ptr<HttpExchange>& exchange) {
     const int64_t interval =
         std::strtoll(exchange->Query("interval_ms").c_str(), nullptr, 10);
     const uint64_t id = ++m_last_id;
-    Watcher& watcher = m_watchers[id];
-    watcher.exchange = exchange;
-    exchange->OnCallerGone([this, id] { m_watchers.erase(id); });
+    Subscriber& subscriber = m_subscribers[id];
+    subscriber.exchange = exchange;
+    exchange->OnCallerDisconnected([this, id] { m_subscribers.erase(id); });
     exchange->StartStream(200, {{"Content-Type", "application/x-ndjson"}});
-    watcher.timer = m_loop.Every(Milliseconds(std::max<int64_t>(interval, 10)),
-                                 [this, id] { Beat(m_watchers[id]); });
-    Beat(watcher);
+    subscriber.timer =
+        m_loop.Every(Milliseconds(std::max<int64_t>(interval, 10)),
+                     [this, id] { SendHeartbeat(m_subscribers[id]); });
+    SendHeartbeat(subscriber);
   }
 
-  void Beat(Watcher& watcher) const {
-    HeartbeatLine beat{MonotonicNow().time_since_epoch().count(),
-                       CurrentReport()};
-    const std::string report = FormatHeartbeatLine({0, beat.report});
-    if (report == watcher.last_report) {
-      beat.report.reset();
+  void SendHeartbeat(Subscriber& subscriber) const {
+    HeartbeatLine heartbeat{MonotonicNow().time_since_epoch().count(),
+                            CurrentReport()};
+    const std::string report = FormatHeartbeatLine({0, heartbeat.report});
+    if (report == subscriber.last_report) {
+      heartbeat.report.reset();
     }
-    watcher.last_report = report;
-    watcher.exchange->Send(FormatHeartbeatLine(beat));
+    subscriber.last_report = report;
+    subscriber.exchange->Send(FormatHeartbeatLine(heartbeat));
   }
 
-  void BeatAll() {
-    for (auto& [id, watcher] : m_watchers) {
-      Beat(watcher);
+  void SendHeartbeats() {
+    for (auto& [id, subscriber] : m_subscribers) {
+      SendHeartbeat(subscriber);
     }
   }
 
-  void Obey(HttpExchange& exchange) {
+  void HandleOrder(HttpExchange& exchange) {
     const Json order = Json::parse(exchange.body(), nullptr, false);
     if (!order.is_object()) {
       exchange.Reply(400, {}, "{}");
@@ -168,7 +170,7 @@
       m_report.group.clear();
       m_report.epoch = 0;
       m_report.phase = MemberPhase::kIdle;
-      // An engine process outside a group holds no weights.
+      // An engine process outside a group has no weights loaded.
       m_report.model_version.clear();
     } else {
       m_report.group = order.value("group", "");
@@ -176,7 +178,7 @@
       Load(order.value("model_version", ""));
     }
     exchange.Reply(200, {}, "{}");
-    BeatAll();
+    SendHeartbeats();
   }
 
   void Load(const std::string& version) {
@@ -194,14 +196,15 @@
     m_report.model_version.clear();
     if (m_options.weights.empty()) {
       m_load_timer = m_loop.After(Milliseconds(m_options.load_ms),
-                                  [this, version] { Loaded(version); });
+                                  [this, version] { OnLoaded(version); });
       return;
     }
     Fetch(version);
   }
 
-  /// Asks the weight store; a limited answer names the earliest next try, and
-  /// jitter after it keeps the members from coming back together.
+  /// Loads the weights from the weight store. A rate-limited response gives the
+  /// earliest retry in Retry-After; jitter is added so that the members of a
+  /// group do not retry at the same time.
   void Fetch(const std::string& version) {
     HttpCallRequest request;
     request.target = "/v1/weights/" + version;
@@ -217,7 +220,7 @@
     events.on_end = [this, version](int status) {
       if (status == 200) {
         m_load_timer = m_loop.After(Milliseconds(m_options.load_ms),
-                                    [this, version] { Loaded(version); });
+                                    [this, version] { OnLoaded(version); });
       } else {
         RetryFetch(version);
       }
@@ -234,10 +237,10 @@
                      [this, version] { Fetch(version); });
   }
 
-  void Loaded(const std::string& version) {
+  void OnLoaded(const std::string& version) {
     m_report.model_version = version;
     m_report.phase = MemberPhase::kReady;
-    BeatAll();
+    SendHeartbeats();
   }
 
   void RunPlain(const std::shared_ptr<HttpExchange>& exchange) {
@@ -281,7 +284,7 @@
     generation.next = body.value("resume_from", 0);
     generation.count = body.value("max_tokens", 16);
     RecordExecution(generation.request_id, generation.prompt_hash);
-    exchange->OnCallerGone([this, id] {
+    exchange->OnCallerDisconnected([this, id] {
       ++m_cancelled;
       Finish(id);
     });
@@ -311,11 +314,13 @@
       const bool cached = TouchPrefix(generation.prefix_hash);
       const Duration prefill =
           Milliseconds(m_options.prefill_ms) / (cached ? 10 : 1);
-      generation.timer = m_loop.After(prefill, [this, id] { Begin(id); });
+      generation.timer =
+          m_loop.After(prefill, [this, id] { StartGeneration(id); });
     }
   }
 
-  /// Whether the prefix was cached; it is afterwards.
+  /// Moves the prefix to the front of the LRU cache, or inserts it. Returns
+  /// whether it was cached.
   bool TouchPrefix(const std::string& prefix) {
     if (prefix.empty()) {
       return false;
@@ -333,7 +338,7 @@
     return cached;
   }
 
-  HttpHeaders AnswerHeaders(const Generation& generation) const {
+  HttpHeaders ResponseHeaders(const Generation& generation) const {
     return {
         {"Content-Type",
          generation.stream ? "text/event-stream" : "application/json"},
@@ -344,18 +349,19 @@
                                            m_report.slots, m_report.prefill})}};
   }
 
-  void Begin(uint64_t id) {
+  void StartGeneration(uint64_t id) {
     Generation& generation = m_generations[id];
     if (generation.stream) {
-      generation.exchange->StartStream(200, AnswerHeaders(generation));
+      generation.exchange->StartStream(200, ResponseHeaders(generation));
     }
     const Duration interval =
         std::max(Duration(100), Duration(Milliseconds(m_options.token_ms)));
-    generation.timer = m_loop.Every(interval, [this, id] { Step(id); });
-    Step(id);
+    generation.timer =
+        m_loop.Every(interval, [this, id] { GenerateToken(id); });
+    GenerateToken(id);
   }
 
-  void Step(uint64_t id) {
+  void GenerateToken(uint64_t id) {
     Generation& generation = m_generations[id];
     if (generation.next >= generation.count) {
       End(generation);
@@ -388,7 +394,7 @@
            {"finish_reason", "length"},
            {"message",
             {{"role", "assistant"}, {"content", generation.text}}}}}}};
-    generation.exchange->Reply(200, AnswerHeaders(generation), answer.dump());
+    generation.exchange->Reply(200, ResponseHeaders(generation), answer.dump());
   }
 
   void Finish(uint64_t id) {
@@ -409,12 +415,12 @@
   HttpClient m_http;
   std::mt19937_64 m_random;
   MemberReport m_report;
-  MemberReport m_lagged;
-  std::unique_ptr<Timer> m_lag_timer;
+  MemberReport m_delayed_report;
+  std::unique_ptr<Timer> m_report_timer;
   std::unique_ptr<Timer> m_load_timer;
   std::unique_ptr<HttpCall> m_load_call;
   int m_retry_after = 1;
-  std::map<uint64_t, Watcher> m_watchers;
+  std::map<uint64_t, Subscriber> m_subscribers;
   std::map<uint64_t, Generation> m_generations;
   std::deque<uint64_t> m_queue;
   std::set<uint64_t> m_running;
@@ -433,22 +439,27 @@
   CLI::App app("Stand-in for a member of a model engine, or a plain service.");
   filbertrack::EngineOptions options;
   app.add_option("--listen", options.listen, "Address to listen on.");
-  app.add_option("--host", options.host, "Name of this member's host.");
-  app.add_flag("--plain", options.plain, "Be a plain service.");
+  app.add_option("--host", options.host, "Name of the member's host.");
+  app.add_flag("--plain", options.plain, "Act as a plain service.");
   app.add_flag("--checks-fence,!--ignores-fence", options.checks_fence,
                "Refuse orders with an old fencing number.");
-  app.add_option("--prefill-ms", options.prefill_ms, "Time to first token.");
-  app.add_option("--token-ms", options.token_ms, "Time between tokens.");
-  app.add_option("--load-ms", options.load_ms, "Time to load weights.");
-  app.add_option("--plain-ms", options.plain_ms, "Time of a plain call.");
-  app.add_option("--slots", options.slots, "Requests answered at a time.");
+  app.add_option("--prefill-ms", options.prefill_ms,
+                 "Time to the first token, in milliseconds.");
+  app.add_option("--token-ms", options.token_ms,
+                 "Interval between tokens, in milliseconds.");
+  app.add_option("--load-ms", options.load_ms,
+                 "Time to load weights, in milliseconds.");
+  app.add_option("--plain-ms", options.plain_ms,
+                 "Duration of a plain call, in milliseconds.");
+  app.add_option("--slots", options.slots,
+                 "Maximum number of concurrent requests.");
   app.add_option("--cached-prefixes", options.cached_prefixes,
-                 "Prompt prefixes kept.");
+                 "Capacity of the prompt prefix cache.");
   app.add_option("--weights", options.weights, "Address of the weight store.");
   app.add_option("--bad-version", options.bad_version,
                  "A version that fails to load.");
   app.add_flag("--history", options.history,
-               "Write a line for each request that is begun.");
+               "Write a line to standard error for each accepted request.");
   CLI11_PARSE(app, argc, argv);
   return filbertrack::ServeStandin(
       options.listen, {}, [&options](filbertrack::EventLoop& loop) {
--- a/tests/entry_poison_test.cc
+++ b/tests/entry_poison_test.cc
@@ -2,9 +2,9 @@
 
 #include <deque>
 
-#include "counted_records.h"
 #include "filbertrack/entry_poison.h"
 #include "filbertrack/entry_poison_record.h"
+#include "in_memory_record_store.h"
 #include "run_until.h"
 
 /// Tests how an entry host evaluates broken attempts: which servers terminated,
@@ -209,7 +209,7 @@
 
 TEST_CASE("blocks are persisted, and an operator removes them there") {
   EventLoop loop;
-  CountedRecords records;
+  InMemoryRecordStore records;
   const PoisonRecordPolicy policy{3, Milliseconds(20), Milliseconds(10),
                                   Milliseconds(30)};
   const std::string name = "poison-requests";
--- a/tests/platform_path_test.cc
+++ b/tests/platform_path_test.cc
@@ -5,24 +5,25 @@
 
 #include "platform_site.h"
 
-/// The whole path of an entry host against stand-ins of the platform.
+/// Tests the whole request path of one entry host with stand-ins for the
+/// platform.
 
 namespace filbertrack {
 namespace {
 
-TEST_CASE("from nothing: groups form and a stream is served unchanged") {
+TEST_CASE("groups form after a cold start, and a stream is served unchanged") {
   Site site(5);
   REQUIRE(site.listening);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 2; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   CHECK(site.host->IsReady());
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 200);
-  CHECK(answer.body == WholeStream(5));
-  CHECK(FindHeader(answer.headers, "X-Runner-Seal").starts_with("seal-of-"));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 200);
+  CHECK(response.body == ExpectedStream(5));
+  CHECK(FindHeader(response.headers, "X-Runner-Seal").starts_with("seal-of-"));
   for (const auto& runner : site.runners) {
     for (const SeenRequest& seen : runner->seen()) {
       CHECK(seen.workspace == "w");
@@ -32,18 +33,18 @@
   }
 }
 
-TEST_CASE("a head dies in mid-stream: the caller gets one whole answer") {
-  // The stream breaks after its first events; another group takes it up after
-  // the last one that the caller has, and the group that lost its head is made
-  // whole from what is left.
+TEST_CASE("a stream whose head dies is resumed on another group") {
+  // The stream breaks after its first events. Another group must resume it
+  // after the last event that the caller has received, so that the caller gets
+  // every event once.
   Site site(5);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 2; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
   REQUIRE(RunUntil(site.loop, [&] {
-    return answer.body.find("part 2") != std::string::npos;
+    return response.body.find("part 2") != std::string::npos;
   }));
   for (const auto& runner : site.runners) {
     if (!runner->seen().empty()) {
@@ -51,26 +52,25 @@
       break;
     }
   }
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK_FALSE(answer.failed);
-  CHECK(answer.body == WholeStream(5));
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK_FALSE(response.failed);
+  CHECK(response.body == ExpectedStream(5));
 }
 
-TEST_CASE("a member leaves in mid-stream: the stream ends where it began") {
-  // The caller gets its whole answer from the first group. A member reports
-  // that it is leaving; the group takes nothing new, is closed in order, and
-  // ends what it has. To take the stream up elsewhere would use up a retry and
-  // read the prompt again.
+TEST_CASE("a stream finishes on its group when a member leaves") {
+  // A member reports that it is leaving. The group must accept no new requests,
+  // but complete those in progress before it closes. Resuming the stream on
+  // another group would take a retry and process the prompt again.
   Site site(5);
   for (const auto& runner : site.runners) {
     runner->SetEvents(40);
   }
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 4; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
   REQUIRE(RunUntil(site.loop, [&] {
-    return answer.body.find("part 2") != std::string::npos;
+    return response.body.find("part 2") != std::string::npos;
   }));
   std::string member;
   for (const auto& runner : site.runners) {
@@ -83,8 +83,8 @@
       runner->Register("draining");
     }
   }
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.body == WholeStream(40));
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.body == ExpectedStream(40));
   size_t sends = 0;
   for (const auto& runner : site.runners) {
     sends += runner->seen().size();
@@ -92,120 +92,122 @@
   CHECK(sends == 1);
 }
 
-TEST_CASE("a silent stream waits where nothing else can take it up") {
-  // The caller gets its whole answer, late. The one group of the model stands
-  // still for over three pauses and then goes on. No other group serves the
-  // model, so to give the stream up would break an answer that still comes.
+TEST_CASE("a stalled stream is not aborted if no other group can resume it") {
+  // The only group that serves the model stalls for more than three times the
+  // gap target and then continues. Aborting the stream would break a response
+  // that is merely late.
   Site site(3);
   for (const auto& runner : site.runners) {
-    runner->SetHalt(2, Milliseconds(1300));
+    runner->SetStreamStall(2, Milliseconds(1300));
   }
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK_FALSE(answer.failed);
-  CHECK(answer.body == WholeStream(5));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK_FALSE(response.failed);
+  CHECK(response.body == ExpectedStream(5));
 }
 
-TEST_CASE("a request that runs at most once is not sent again") {
-  // The server ran it and its answer is lost: the caller is told that nobody
-  // knows, and no other server sees the request.
+TEST_CASE("a non-idempotent request is not sent again") {
+  // A server ran the request, and its response is lost. The caller must get
+  // 502, since the outcome is unknown, and no other server may get the request.
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
-    server->SetLosesAnswers(true);
+    server->SetDropsResponses(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/once/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 502);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/once/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 502);
   CHECK(site.plain[0]->seen().size() + site.plain[1]->seen().size() == 1);
 }
 
-TEST_CASE("a request that may be repeated is sent to another server") {
+TEST_CASE("an idempotent request is retried on another server") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
-  site.plain[0]->SetLosesAnswers(true);
+  site.plain[0]->SetDropsResponses(true);
   HttpClient client(site.loop, 2);
   for (int i = 0; i < 4; ++i) {
-    Answer answer;
-    const auto call =
-        Ask(site, client, "/safe/x", "id-" + std::to_string(i), answer);
-    REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-    CHECK(answer.status == 200);
-    CHECK(answer.body == "answer of p1");
+    CallerResponse response;
+    const auto call = SendRequest(site, client, "/safe/x",
+                                  "id-" + std::to_string(i), response);
+    REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+    CHECK(response.status == 200);
+    CHECK(response.body == "answer of p1");
   }
 }
 
 TEST_CASE(
-    "servers that refuse: the caller is told that nothing ran, and when to "
-    "come back") {
+    "if all servers refuse, the caller gets 503 and a time at which to "
+    "retry") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
     server->SetFull(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/once/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 503);
-  CHECK_FALSE(FindHeader(answer.headers, "Retry-After").empty());
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/once/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 503);
+  CHECK_FALSE(FindHeader(response.headers, "Retry-After").empty());
   CHECK(site.plain[0]->seen().empty());
   CHECK(site.plain[1]->seen().empty());
 }
 
-TEST_CASE("a host that starts while the store is away says when it may know") {
-  // All hosts lost power while the store was away. A caller that is told to
-  // come back before the registrations can be there is refused once more, and
-  // most come back only once.
+TEST_CASE(
+    "a host that starts during a store outage sends a useful Retry-After") {
+  // All hosts restart during a store outage. A caller that retries before the
+  // registrations can have been read is refused a second time, and most callers
+  // retry only once.
   Site site(0);
   site.store.faults().refuse_with = 503;
   HttpClient client(site.loop, 0);
   REQUIRE(RunUntil(site.loop, [&site] { return site.host->store_away(); }));
   REQUIRE(site.host->catalog() == nullptr);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "a", answer);
-  REQUIRE(RunUntil(site.loop, [&answer] { return answer.ended; }));
-  CHECK(answer.status == 503);
-  const std::string after(FindHeader(answer.headers, "Retry-After"));
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "a", response);
+  REQUIRE(RunUntil(site.loop, [&response] { return response.ended; }));
+  CHECK(response.status == 503);
+  const std::string after(FindHeader(response.headers, "Retry-After"));
   REQUIRE_FALSE(after.empty());
   CHECK(std::stod(after) >= 1);
   CHECK(std::stod(after) <= 2);
 }
 
-TEST_CASE("an answer that names another request never reaches the caller") {
+TEST_CASE("a response with another request id never reaches the caller") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   for (const auto& server : site.plain) {
-    server->SetMixesAnswers(true);
+    server->SetSendsWrongAttemptId(true);
   }
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/safe/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 502);
-  CHECK(answer.body.find("answer of") == std::string::npos);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/safe/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 502);
+  CHECK(response.body.find("answer of") == std::string::npos);
 }
 
-TEST_CASE("unknown keys and routes are refused, and run nowhere") {
+TEST_CASE("unknown keys and routes are refused") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   HttpClient client(site.loop, 2);
-  Answer wrong_key;
-  const auto first = Ask(site, client, "/safe/x", "id-1", wrong_key, "stolen");
+  CallerResponse wrong_key;
+  const auto first =
+      SendRequest(site, client, "/safe/x", "id-1", wrong_key, "stolen");
   REQUIRE(RunUntil(site.loop, [&] { return wrong_key.ended; }));
   CHECK(wrong_key.status == 401);
-  Answer no_route;
-  const auto second = Ask(site, client, "/nowhere/", "id-2", no_route);
+  CallerResponse no_route;
+  const auto second = SendRequest(site, client, "/nowhere/", "id-2", no_route);
   REQUIRE(RunUntil(site.loop, [&] { return no_route.ended; }));
   CHECK(no_route.status == 404);
 }
 
-TEST_CASE("a key that is withdrawn is refused from the next request on") {
+TEST_CASE("a revoked key is refused once the configuration is applied") {
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   Json config = MakeConfig(2);
@@ -214,20 +216,20 @@
   REQUIRE(RunUntil(site.loop,
                    [&] { return site.host->catalog()->version() == 2; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/safe/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  CHECK(answer.status == 401);
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/safe/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CHECK(response.status == 401);
 }
 
-TEST_CASE("a caller that leaves ends the work at the server") {
+TEST_CASE("a caller that disconnects cancels the request at the server") {
   Site site(3);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountOpen() == 1; }));
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return !answer.body.empty(); }));
+  CallerResponse response;
+  auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return !response.body.empty(); }));
   call.reset();
   CHECK(RunUntil(site.loop, [&] {
     return std::any_of(
@@ -237,11 +239,12 @@
   }));
 }
 
-TEST_CASE("a signal to reload does not end the process") {
-  // The platform sends SIGHUP when the settings file changed. Unhandled, it
-  // ended every entry host at once, with the requests they had.
+TEST_CASE("a reload signal does not terminate the process") {
+  // The platform sends SIGHUP when the settings file has changed. Without a
+  // handler, it terminated all entry hosts at once, with the requests in
+  // progress.
   IgnoreReloadSignal();
-  // One that comes before the process is ready for it.
+  // This signal arrives before the handler is installed.
   std::raise(SIGHUP);
   EventLoop loop;
   int reloads = 0;
@@ -256,22 +259,24 @@
       "test.ini");
   site.host->Reload(*settings);
   CHECK(site.host->IsReady());
-  // The same settings once more change nothing.
+  // Reloading the same settings again has no effect.
   site.host->Reload(*settings);
   CHECK(site.host->IsReady());
 }
 
-TEST_CASE("the metrics tell what callers got and what the host knows") {
+TEST_CASE(
+    "the metrics report the results of requests and the state of the host") {
   Site site(3);
   REQUIRE(RunUntil(site.loop, [&] { return site.CountTargets() == 3; }));
   HttpClient client(site.loop, 2);
-  Answer answer;
-  const auto call = Ask(site, client, "/s/x", "id-1", answer);
-  REQUIRE(RunUntil(site.loop, [&] { return answer.ended; }));
-  Answer refused;
-  const auto wrong = Ask(site, client, "/s/x", "id-2", refused, "stolen");
+  CallerResponse response;
+  const auto call = SendRequest(site, client, "/s/x", "id-1", response);
+  REQUIRE(RunUntil(site.loop, [&] { return response.ended; }));
+  CallerResponse refused;
+  const auto wrong =
+      SendRequest(site, client, "/s/x", "id-2", refused, "stolen");
   REQUIRE(RunUntil(site.loop, [&] { return refused.ended; }));
-  Answer metrics;
+  CallerResponse metrics;
   HttpCallRequest request;
   request.target = "/metrics";
   HttpCallEvents events;
@@ -293,16 +298,18 @@
   }
 }
 
-TEST_CASE("a stopping host answers what it has and refuses what comes late") {
-  // After the balancer had time to learn of the stop, a new request is refused
-  // as not run, so that it is not cut at the end of the grace time.
+TEST_CASE("a draining host still answers and closes the connection") {
+  // The load balancer needs some time to see that the host is no longer ready.
+  // Requests that arrive until then must still be answered, on connections that
+  // are closed afterwards. Later ones are refused as not run, so that they are
+  // not cut off at the end of the grace time; this test does not cover that.
   Site site(0);
   REQUIRE(RunUntil(site.loop, [&] { return site.host->IsReady(); }));
   site.host->Drain();
   CHECK_FALSE(site.host->IsReady());
   HttpClient client(site.loop, 2);
-  Answer early;
-  const auto first = Ask(site, client, "/safe/x", "id-1", early);
+  CallerResponse early;
+  const auto first = SendRequest(site, client, "/safe/x", "id-1", early);
   REQUIRE(RunUntil(site.loop, [&] { return early.ended; }));
   CHECK(early.status == 200);
   CHECK(FindHeader(early.headers, "Connection") == "close");
--- a/tests/platform_site.h
+++ b/tests/platform_site.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Entry hosts with all their parts, the store and runners, on one loop.
+/// Test fixture: complete entry hosts with stand-ins for the store and the
+/// runners, all on one event loop.
 
 #include <algorithm>
 #include <memory>
@@ -13,8 +14,8 @@
 #include "filbertrack/entry_poison_record.h"
 #include "platform_config.h"
 #include "platform_decode.h"
-#include "platform_dialect.h"
-#include "platform_engines.h"
+#include "platform_engine_client.h"
+#include "platform_header_codec.h"
 #include "platform_runner_standin.h"
 #include "platform_store.h"
 #include "platform_store_standin.h"
@@ -22,7 +23,7 @@
 
 namespace filbertrack {
 
-/// An address that nobody listens on, for a host that is told of before it
+/// Returns a free address, for a host whose address is needed before it
 /// listens.
 inline Address FreeAddress(EventLoop& loop) {
   HttpServer server(loop, {}, [](const std::shared_ptr<HttpExchange>&) {});
@@ -30,15 +31,16 @@
 }
 
 struct SiteOptions {
-  /// Hosts for groups, and entry hosts.
+  /// Number of hosts that form groups, and of entry hosts.
   int hosts = 0;
   int entry_hosts = 1;
-  /// Backend servers stand in them by turns; a fabric domain each.
+  /// Backend servers are assigned to these round robin. Each data centre is one
+  /// fabric domain.
   std::vector<std::string> data_centres = {"z"};
   Json config = MakeConfig(1);
-  /// Of each event of a stream, beyond the usual text.
+  /// Extra bytes in each event of a stream.
   size_t event_padding = 0;
-  /// Of each entry host.
+  /// Memory of each entry host, in MiB.
   int entry_memory_mb = 512;
   Duration unread_timeout = Seconds(10);
 };
@@ -84,7 +86,7 @@
     control.Start();
   }
 
-  /// As a quarter of a core and 1,000 Mbit/s make it.
+  /// Capacity of an entry host with a quarter of a core and 1,000 Mbit/s.
   static constexpr int kCapacity = 250;
 
   static platform::PlatformStorePolicy MakeStorePolicy() {
@@ -100,14 +102,14 @@
     return policy;
   }
 
-  /// Groups and plain servers that the host would send to.
+  /// Number of groups and plain servers that the host can send requests to.
   size_t CountTargets() const {
     return host.catalog() == nullptr
                ? 0
                : CurrentTargets(host.directory(), *host.catalog()).size();
   }
 
-  platform::PlatformEngines engines;
+  platform::PlatformEngineClient engines;
   Settings settings;
   EntryHost host;
   bool listening;
@@ -117,7 +119,7 @@
   EntryPoisonRecord poison_record;
 };
 
-/// Hosts for groups, two plain servers, and entry hosts.
+/// Entry hosts, hosts that form groups, and two plain servers.
 struct Site {
   explicit Site(int hosts, int entry_hosts = 1)
       : Site(SiteOptions{.hosts = hosts, .entry_hosts = entry_hosts}) {}
@@ -153,12 +155,13 @@
     listening = nodes.front()->listening;
   }
 
-  /// `apart`: at the address where the store can turn it away.
-  EntryNode& AddEntryHost(bool apart = false) {
+  /// Adds an entry host. With `at_second_address`, it uses the store's second
+  /// address, at which the stand-in can be told to refuse all calls.
+  EntryNode& AddEntryHost(bool at_second_address = false) {
     const std::string name = "e" + std::to_string(nodes.size() + 1);
     nodes.push_back(std::make_unique<EntryNode>(
-        loop, apart ? store.second_address() : store.address(), name, options,
-        header_codec, decoder));
+        loop, at_second_address ? store.second_address() : store.address(),
+        name, options, header_codec, decoder));
     return *nodes.back();
   }
 
@@ -175,7 +178,7 @@
   PlatformStoreStandin store;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> runners;
   std::vector<std::unique_ptr<PlatformRunnerStandin>> plain;
-  platform::PlatformDialect header_codec;
+  platform::PlatformHeaderCodec header_codec;
   platform::PlatformDecoder decoder;
   std::vector<std::unique_ptr<EntryNode>> nodes;
   /// The first entry host.
@@ -183,8 +186,8 @@
   bool listening = false;
 };
 
-/// What a caller got.
-struct Answer {
+/// The response as received by the caller.
+struct CallerResponse {
   bool ended = false;
   bool failed = false;
   int status = 0;
@@ -192,17 +195,18 @@
   std::string body;
 };
 
-struct AskOptions {
+struct RequestOptions {
   std::string key = "key";
   std::string body;
 };
 
-inline std::unique_ptr<HttpCall> AskAt(const Address& address,
-                                       HttpClient& client,
-                                       const std::string& path,
-                                       const std::string& id,
-                                       Answer& answer,
-                                       const AskOptions& options = {}) {
+inline std::unique_ptr<HttpCall> SendRequestTo(
+    const Address& address,
+    HttpClient& client,
+    const std::string& path,
+    const std::string& id,
+    CallerResponse& response,
+    const RequestOptions& options = {}) {
   HttpCallRequest request;
   request.method = HttpMethod::kPost;
   request.target = path;
@@ -214,27 +218,31 @@
                      {"Authorization", "Bearer " + options.key}};
   request.body = options.body;
   HttpCallEvents events;
-  events.on_head = [&answer](int status, const HttpHeaders& headers) {
-    answer.status = status;
-    answer.headers = headers;
+  events.on_head = [&response](int status, const HttpHeaders& headers) {
+    response.status = status;
+    response.headers = headers;
+  };
+  events.on_bytes = [&response](std::string_view bytes) {
+    response.body += bytes;
+  };
+  events.on_end = [&response](int) { response.ended = true; };
+  events.on_failure = [&response](bool) {
+    response.ended = response.failed = true;
   };
-  events.on_bytes = [&answer](std::string_view bytes) { answer.body += bytes; };
-  events.on_end = [&answer](int) { answer.ended = true; };
-  events.on_failure = [&answer](bool) { answer.ended = answer.failed = true; };
   return client.Start(address, std::move(request), std::move(events));
 }
 
-inline std::unique_ptr<HttpCall> Ask(Site& site,
-                                     HttpClient& client,
-                                     const std::string& path,
-                                     const std::string& id,
-                                     Answer& answer,
-                                     const std::string& key = "key") {
-  return AskAt(site.host->caller_address(), client, path, id, answer,
-               {key, {}});
+inline std::unique_ptr<HttpCall> SendRequest(Site& site,
+                                             HttpClient& client,
+                                             const std::string& path,
+                                             const std::string& id,
+                                             CallerResponse& response,
+                                             const std::string& key = "key") {
+  return SendRequestTo(site.host->caller_address(), client, path, id, response,
+                       {key, {}});
 }
 
-inline std::string WholeStream(int events) {
+inline std::string ExpectedStream(int events) {
   std::string text;
   for (int i = 1; i <= events; ++i) {
     text += "id: " + std::to_string(i) + "\ndata: part " + std::to_string(i) +
--- a/tests/run_until.h
+++ b/tests/run_until.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Runs a loop until something holds, for tests that wait for sockets.
+/// Runs an event loop until a condition holds, for tests with sockets.
 
 #include <event2/event.h>
 
@@ -8,18 +8,19 @@
 
 namespace filbertrack {
 
-/// Ends a test that waits for something that never comes.
-inline constexpr Duration kTestLimit = Seconds(30);
+/// Timeout after which a wait ends even if its condition does not hold.
+inline constexpr Duration kTestTimeout = Seconds(30);
 
-/// False where the limit came first.
+/// Runs the loop until `done()` returns true. False if it timed out.
 template <typename Done>
 bool RunUntil(EventLoop& loop, Done done) {
-  bool late = false;
-  const auto limit = loop.After(kTestLimit, [&late] { late = true; });
-  while (!done() && !late) {
+  bool has_timed_out = false;
+  const auto timeout =
+      loop.After(kTestTimeout, [&has_timed_out] { has_timed_out = true; });
+  while (!done() && !has_timed_out) {
     event_base_loop(loop.base(), EVLOOP_ONCE);
   }
-  return !late;
+  return !has_timed_out;
 }
 
 }  // namespace filbertrack
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -18,7 +18,7 @@
   });
 }
 
-TEST_CASE("a file's values and the defaults of the others") {
+TEST_CASE("values from the file and defaults for the other keys") {
   const auto settings =
       Schema().ParseText("[a]\nname = n\nwait = 250ms\n", "f.ini");
   REQUIRE(settings);
@@ -27,9 +27,10 @@
   CHECK(settings->At("a", "listen").port == 1);
 }
 
-TEST_CASE("a list of many addresses is read whole") {
-  // An operator's command refused its settings with twelve entry hosts: the
-  // reader cut lines at 200 bytes.
+TEST_CASE("a long list of addresses is read completely") {
+  // Guards against a parser with a line limit: one that split lines at 200
+  // bytes rejected the settings of an operator's command with twelve entry
+  // hosts.
   std::string text = "[a]\nname = n\nseeds = ";
   for (int i = 0; i < 400; ++i) {
     text += (i == 0 ? "" : ",") + std::string("127.0.0.1:") +
@@ -40,12 +41,12 @@
   CHECK(settings->Addresses("a", "seeds").size() == 400);
 }
 
-TEST_CASE("each fault names file, section, key, value and what is allowed") {
-  struct Fault {
+TEST_CASE("each error names file, section, key, value and allowed values") {
+  struct InvalidFile {
     const char* text;
-    std::vector<std::string> named;
+    std::vector<std::string> expected;
   };
-  const std::vector<Fault> faults = {
+  const std::vector<InvalidFile> files = {
       {"[a]\nname=n\ncount = 10\n", {"f.ini", "[a]", "count", "10", "1 to 9"}},
       {"[a]\nname=n\nwait = 5\n", {"wait", "'5'", "unit"}},
       {"[a]\nname=n\nwait = 2m\n", {"wait", "2m", "60s"}},
@@ -55,13 +56,13 @@
       {"[a]\ncount = 2\n", {"lacks", "name"}},
       {"[a]\nthis is no line\n", {"Line 2"}},
   };
-  for (const Fault& fault : faults) {
-    const auto settings = Schema().ParseText(fault.text, "f.ini");
+  for (const InvalidFile& file : files) {
+    const auto settings = Schema().ParseText(file.text, "f.ini");
     REQUIRE(!settings);
     CHECK(settings.error().code == ResultCode::kSettingsInvalid);
-    for (const std::string& name : fault.named) {
+    for (const std::string& part : file.expected) {
       CAPTURE(settings.error().message);
-      CHECK(settings.error().message.find(name) != std::string::npos);
+      CHECK(settings.error().message.find(part) != std::string::npos);
     }
   }
 }
@@ -82,7 +83,7 @@
   CHECK_FALSE(schema.ParseText("[a]\nwait = 1.2.3s\n", "f.ini"));
 }
 
-TEST_CASE("property: no text crashes the reading of settings") {
+TEST_CASE("property: no input crashes the settings parser") {
   REQUIRE(rc::check("ini", [] {
     const auto text = *rc::gen::container<std::string>(rc::gen::elementOf(
         std::string("[]a=countwaitlisten0123456789ms:.\n \xff;#")));
