--- a/include/filbertrack/dispatch_selector.h
+++ b/include/filbertrack/dispatch_selector.h
@@ -152,9 +152,9 @@
   /// is refused, since a small random draw misses the last targets with
   /// capacity. Bounds the cost of a refusal.
   size_t max_candidates = 64;
-  /// A target found this way is used only up to this fraction of its slots:
-  /// among many targets, one that appears free is most likely being filled by
-  /// other entry hosts already.
+  /// A target from this wider search of max_candidates targets is used only up
+  /// to this fraction of its slots: among many targets, one that appears free
+  /// is probably being chosen by other entry hosts as well.
   double max_slot_share = 0.85;
 
   // Switches for measuring the effect of single mechanisms.
--- a/include/filbertrack/entry_lease.h
+++ b/include/filbertrack/entry_lease.h
@@ -68,8 +68,9 @@
   void OnWritten(const DomainLease& lease,
                  TimePoint write_start,
                  const StoreResponse& answer);
-  /// A write that was started at `write_start` took effect: `lease` is held
-  /// from then on, unless the tenure of its fence has ended meanwhile.
+  /// A write that was started at `write_start` took effect: this process holds
+  /// `lease` from `write_start` for the lease duration, unless its lease with
+  /// this fence has expired in the meantime.
   void OnConfirmed(const DomainLease& lease, TimePoint write_start);
   /// Updates the known state of the lease from the record. False if the record
   /// is malformed or older than the known version.
--- a/include/filbertrack/explain_account.h
+++ b/include/filbertrack/explain_account.h
@@ -39,11 +39,12 @@
   int requests = 0;
   /// Loss in requests; a late answer is a fraction of one.
   double lost = 0;
-  /// Mean age of the loads received from other entry hosts, in milliseconds,
-  /// over the first placement of each request, or over its refusal if it was
-  /// never placed. `predicted_ms` is the mean predicted time to the first event
-  /// at the same decisions.
+  /// Mean age, in milliseconds, of the loads received from other entry hosts,
+  /// at the first placement of each request, or at its final log line if it was
+  /// never placed. Each age is capped at 60 s.
   double loads_age_ms = 0;
+  /// Mean predicted time to the first event at the same decisions, in
+  /// milliseconds.
   double predicted_ms = 0;
 };
 
--- a/include/filbertrack/gossip_fleet.h
+++ b/include/filbertrack/gossip_fleet.h
@@ -46,8 +46,9 @@
   /// Records the state that a peer sent; `now` is when it was received.
   void Note(const GossipState& state, TimePoint now);
 
-  /// Replaces the loads in `own` by those of the whole local data centre, for a
-  /// receiver in another data centre.
+  /// Replaces the loads and hosts in `own` by those of the whole local data
+  /// centre and marks it as covering the data centre, for a receiver in another
+  /// one.
   void CoverDataCentre(GossipState& own, TimePoint now) const;
 
   /// Adds the received loads of the other data centres to `own`, for a receiver
--- a/include/filbertrack/groups_state.h
+++ b/include/filbertrack/groups_state.h
@@ -35,9 +35,9 @@
 /// Next step once a draining group has no requests in flight.
 enum class DrainGoal { kNone, kDissolve, kChangeVersion, kReplaceMember };
 
-/// One replica: a model version on hosts of this domain. Every change of its
-/// members or version starts a new epoch, which excludes members and routers of
-/// older epochs.
+/// One replica: a model version on hosts of the domain. Every change of its
+/// members or version starts a new epoch; members with another epoch do not
+/// count, and requests routed with another epoch are refused.
 struct Group {
   std::string id;
   std::string service;
--- a/include/filbertrack/request_machine.h
+++ b/include/filbertrack/request_machine.h
@@ -77,7 +77,8 @@
 struct NoTarget {
   ResultCode code;
 };
-/// The status and headers of the attempt's response.
+/// The head of the attempt's response has arrived: its status, and what its
+/// headers state.
 struct AttemptHead {
   int status = 0;
   /// The response carries this request's id. Another request's response must
--- a/include/filbertrack/routing_choice.h
+++ b/include/filbertrack/routing_choice.h
@@ -129,7 +129,8 @@
 enum class RouteRefusal {
   /// No group of the service is known to be whole, or all were tried.
   kNoneServing,
-  /// Groups serve the service, but none could answer before the deadline.
+  /// Groups serve the service, but all are full or paused after failures, or
+  /// the best of those examined would answer after the deadline.
   kAllBusy,
 };
 
--- a/include/filbertrack/server_directory.h
+++ b/include/filbertrack/server_directory.h
@@ -157,8 +157,9 @@
   /// if the group's head has left the group since.
   const Departure* FindDeparture(std::string_view id) const;
 
-  /// The head confirmed an order to leave the group. Its registration may show
-  /// this late, or not at all while the head cannot reach the store.
+  /// The head confirmed an order to leave the group, or another process
+  /// answered at its address. Its registration may show this late, or not at
+  /// all while the head cannot reach the store.
   void OnHeadLeft(const std::string& group, uint64_t epoch);
 
   /// Whether the head was seen to leave this group. No order can then make it
--- a/source/replica_plan.cc
+++ b/source/replica_plan.cc
@@ -112,7 +112,7 @@
   const Duration stall = m_policy.stall + m_policy.stall_margin;
   if (departure->group.empty() || CannotReopen(*departure)) {
     // The head has been stalled since its member left, or since it opened after
-    // that, and breaks at the end of the stall.
+    // that. At the end of the stall it refuses the requests that it holds.
     const OpenOrders* opens =
         FindOpenOrders(departure->group, departure->epoch);
     const TimePoint opened_by = opens == nullptr
@@ -201,8 +201,9 @@
         server == nullptr || HasStaged(*server, entry.second.model);
     return done || m_now - entry.second.at > LoadTimeout();
   });
-  // After this, no earlier order is in transit, and a head without its members
-  // has stalled and broken.
+  // Once this time has passed since an order was sent, the order can no longer
+  // be executed, and a head that opened by it without its members has refused
+  // the requests that it held.
   const Duration settled =
       m_policy.order_ttl + m_policy.stall + m_policy.stall_margin;
   std::erase_if(m_memory.open_orders, [this, settled](const auto& entry) {
--- a/source/server_directory.cc
+++ b/source/server_directory.cc
@@ -8,8 +8,9 @@
 
 /// Number of recorded groups from which those without members are forgotten.
 constexpr size_t kMaxGroupsWithoutHead = 256;
-/// Limit of the remembered removed servers; larger than the number that can
-/// expire at once.
+/// Limit of the recorded registrations of removed servers; larger than the
+/// number that can expire at once. At the limit, the entry with the lowest id
+/// is dropped for a new one, whatever its age.
 constexpr size_t kMaxRemoved = 1024;
 
 bool IsHeadOf(const BackendServer& server,
--- a/standins/platform_store_standin.h
+++ b/standins/platform_store_standin.h
@@ -50,8 +50,8 @@
   /// Returns the spec, or null if there is no such object.
   nlohmann::json Get(const std::string& kind, const std::string& name) const;
 
-  /// Sets an action to run after each page of a listing was sent; pages count
-  /// from 1.
+  /// Sets an action to run after each listing page was sent. `page` counts the
+  /// pages of all listings since the start, from 1.
   void AfterPage(std::function<void(int page)> action) {
     m_after_page = std::move(action);
   }
--- a/tests/poison_fleet_test.cc
+++ b/tests/poison_fleet_test.cc
@@ -168,8 +168,9 @@
         Draw(0, static_cast<int>(m_hosts.size()) - 1))];
   }
 
-  /// A server has requests of all hosts, drawn anew for each end; those that
-  /// were involved in the last end are drawn more often.
+  /// Simulates the end of a server that ran the poison request for `sender` and
+  /// kSlots unrelated requests of random hosts. Each of these is drawn with a
+  /// probability of 1/4 from those of the previous end, as a retry.
   void EndServer(Host& sender) {
     sender.last_poison_request = m_now;
     ++m_ends;
--- a/tests/replicas_test.cc
+++ b/tests/replicas_test.cc
@@ -182,8 +182,10 @@
   CHECK(run.fleet.violations().empty());
 }
 
-/// Seconds from the loss of a member of each of four small groups until only
-/// two groups fewer serve than before. 35 % of the orders are not answered.
+/// Seconds from the loss of a member of each of four small groups until at most
+/// two groups fewer serve than before; about 30 s if that does not happen. Each
+/// delivery of an order fails with a probability of 35 %: it is lost, or
+/// arrives 2 to 12 s later. `repeats`: join orders are sent again.
 double SecondsToRepair(bool repeats, uint64_t seed) {
   PlannerRun run(seed);
   run.policy.repeats_joins = repeats;
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -362,8 +362,8 @@
 }
 
 TEST_CASE("a server is cold while it reports so or is assumed to be") {
-  // Guards against a server that is treated as warm because the assumed cold
-  // period ends before the reported one, and vice versa.
+  // Guards against a server that is treated as warm because it no longer
+  // reports itself as cold, although its assumed cold period has not ended.
   ServerDirectory directory{DirectoryPolicy{}};
   BackendServer server;
   server.id = "s";
